--- a/crates/walnutmoor-core/src/node/outcome.rs
+++ b/crates/walnutmoor-core/src/node/completion.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Action, Core,
-    entry::{MARGIN, Outbound, Stage, TRIES_MAX},
+    outbound::{MARGIN, Outbound, Stage, TRIES_MAX},
 };
 use crate::{
     call::{Leg, Reply, Trailer, is_error},
--- a/crates/walnutmoor-core/src/node/serve.rs
+++ b/crates/walnutmoor-core/src/node/inbound.rs
@@ -1,6 +1,6 @@
 //! Calls on their way in: the gate, the backend server, drains.
 
-use super::{Action, Core, Note, entry::Failed};
+use super::{Action, Core, Note, outbound::Failed};
 use crate::{
     admit::{Level, PATH_MAX, Report},
     call::{Envelope, Leg, Reply, Trailer, is_overload},
--- a/crates/walnutmoor-core/src/node/mod.rs
+++ b/crates/walnutmoor-core/src/node/mod.rs
@@ -30,15 +30,15 @@
 ```
 */
 
+mod completion;
 mod contacts;
 mod control;
-mod entry;
 mod event;
+mod inbound;
 mod issue;
 mod options;
-mod outcome;
-mod serve;
-mod stat;
+mod outbound;
+mod stats;
 mod tickets;
 
 use std::{collections::BTreeSet, marker::PhantomData};
@@ -46,7 +46,7 @@
 pub use self::{
     event::{Action, AskId, Event, Note, OpId},
     options::{Config, Mode},
-    stat::{Stats, Status},
+    stats::{Stats, Status},
 };
 use crate::{
     admit::View,
@@ -192,8 +192,8 @@
     rng: ChaCha8Rng,
     stats: Stats,
     // Calls.
-    outbound: Map<CallId, entry::Outbound>,
-    inbound: Map<CallId, serve::Inbound>,
+    outbound: Map<CallId, outbound::Outbound>,
+    inbound: Map<CallId, inbound::Inbound>,
     timers: BTreeSet<(Millis, CallId)>,
     view: View,
     router: Router,
--- a/crates/walnutmoor-core/src/node/tickets.rs
+++ b/crates/walnutmoor-core/src/node/tickets.rs
@@ -4,7 +4,7 @@
 
 use super::{
     Action, AskId, Core,
-    entry::{Outbound, Stage},
+    outbound::{Outbound, Stage},
 };
 use crate::{
     call::{Arrival, Envelope, Leg},
