--- a/crates/walnutmoor-core/src/node/completion.rs
+++ b/crates/walnutmoor-core/src/node/completion.rs
@@ -1,8 +1,8 @@
-//! Calls that come back: answers, retries elsewhere, and giving up.
+//! Completion of outbound calls: answers, retries, failures and timeouts.
 
 use super::{
     Action, Core,
-    outbound::{MARGIN, Outbound, Stage, TRIES_MAX},
+    outbound::{ATTEMPTS_MAX, DEADLINE_MARGIN, Outbound, Phase},
 };
 use crate::{
     call::{Leg, Reply, Trailer, is_error},
@@ -14,33 +14,33 @@
 };
 
 impl Core {
-    /// An outbound call came back.
-    pub(super) fn returned(
+    /// Handles the reply to an outbound call.
+    pub(super) fn outbound_replied(
         &mut self,
         now: Millis,
         call: CallId,
         reply: Reply,
         out: &mut Vec<Action>,
     ) {
-        let Some(o) = self.outbound.get_mut(&call) else { return };
-        let Some(to) = o.to.take() else { return };
-        let relayed = o.envelope.leg == Leg::Owner;
+        let Some(outbound) = self.outbound.get_mut(&call) else { return };
+        let Some(to) = outbound.to.take() else { return };
+        let relayed = outbound.envelope.leg == Leg::Owner;
         match reply {
             Reply::Whole { status, size, trailer } => {
-                let good = !is_error(status);
-                self.router.answered(now, to, trailer.load, good);
-                self.absorb(now, call, &trailer);
-                self.complete(now, call, good, size, out);
+                let succeeded = !is_error(status);
+                self.router.answered(now, to, trailer.load, succeeded);
+                self.apply_trailer(now, call, &trailer);
+                self.complete(now, call, succeeded, size, out);
             }
             Reply::Refused { refusal, trailer } => {
                 self.router.answered(now, to, trailer.load, true);
                 if refusal.kind == Kind::Leaving {
                     self.router.failed(now, to);
                 }
-                self.absorb(now, call, &trailer);
+                self.apply_trailer(now, call, &trailer);
                 match refusal.is_free_to_move() && !relayed {
-                    true => self.elsewhere(now, call, refusal, out),
-                    false => self.give_up(now, call, refusal, out),
+                    true => self.try_next_server(now, call, refusal, out),
+                    false => self.fail_outbound(now, call, refusal, out),
                 }
             }
             Reply::Unreachable if relayed => {
@@ -48,21 +48,23 @@
                 self.ask_witness(now, call, out);
             }
             Reply::Unreachable => {
-                o.budget.give_back(o.envelope.budget.left());
+                outbound.budget.give_back(outbound.envelope.budget.left());
                 self.router.failed(now, to);
                 let refusal = Refusal::new(Kind::Unreachable, Ran::No);
-                let wait = self.spread(Millis(500));
+                let wait = self.jitter(Millis(500));
                 let refusal = refusal.retry_after(wait);
-                self.elsewhere(now, call, refusal, out);
+                self.try_next_server(now, call, refusal, out);
             }
             Reply::Broken => {
                 self.router.failed(now, to);
-                self.broken(now, call, relayed, out);
+                self.connection_lost(now, call, relayed, out);
             }
         }
     }
 
-    fn broken(
+    /// Handles a call whose connection broke after it was sent: it may have
+    /// run, so a call with a ticket is not sent again.
+    fn connection_lost(
         &mut self,
         now: Millis,
         call: CallId,
@@ -75,70 +77,77 @@
         }
         let refusal = Refusal::new(Kind::Broken, Ran::Unknown);
         let once = self.outbound[&call].envelope.ticket.is_some();
-        if once || !self.may_retry(call) {
-            self.give_up(now, call, refusal, out);
+        if once || !self.try_spend_retry(call) {
+            self.fail_outbound(now, call, refusal, out);
             return;
         }
         self.stats.retried += 1;
-        self.send(now, call, out);
+        self.dispatch(now, call, out);
     }
 
-    /// The call was proved not run: the first move is free, others count
-    /// as retries.
-    fn elsewhere(
+    /// Sends a call that did not run to another server. As with gRPC's
+    /// transparent retries, the first one is not charged to the budget.
+    fn try_next_server(
         &mut self,
         now: Millis,
         call: CallId,
         refusal: Refusal,
         out: &mut Vec<Action>,
     ) {
-        let Some(o) = self.outbound.get_mut(&call) else { return };
-        let free = !std::mem::replace(&mut o.moved, true);
-        let late = o.deadline.since(now) <= MARGIN;
-        if late || o.tried.len() >= TRIES_MAX {
-            self.give_up(now, call, refusal, out);
-        } else if free {
+        let Some(outbound) = self.outbound.get_mut(&call) else { return };
+        let free_retry =
+            !std::mem::replace(&mut outbound.free_retry_used, true);
+        let expiring = outbound.deadline.since(now) <= DEADLINE_MARGIN;
+        if expiring || outbound.tried.len() >= ATTEMPTS_MAX {
+            self.fail_outbound(now, call, refusal, out);
+        } else if free_retry {
             self.stats.moved += 1;
-            self.send(now, call, out);
-        } else if self.may_retry(call) {
+            self.dispatch(now, call, out);
+        } else if self.try_spend_retry(call) {
             self.stats.retried += 1;
-            self.send(now, call, out);
+            self.dispatch(now, call, out);
         } else {
-            self.give_up(now, call, refusal, out);
+            self.fail_outbound(now, call, refusal, out);
         }
     }
 
-    fn may_retry(&mut self, call: CallId) -> bool {
-        let Some(o) = self.outbound.get_mut(&call) else { return false };
-        if o.tried.len() >= TRIES_MAX {
+    /// Spends a retry of the request's budget and of the service pair's share.
+    fn try_spend_retry(&mut self, call: CallId) -> bool {
+        let Some(outbound) = self.outbound.get_mut(&call) else {
+            return false;
+        };
+        if outbound.tried.len() >= ATTEMPTS_MAX {
             return false;
         }
-        let (from, to) = (o.envelope.from.clone(), &o.envelope.service);
+        let (from, to) =
+            (outbound.envelope.from.clone(), &outbound.envelope.service);
         let share = self.share.try_retry(from.as_ref(), to);
-        share && o.budget.spend()
+        share && outbound.budget.spend()
     }
 
-    /// Takes in what came back beside the answer.
-    fn absorb(&mut self, now: Millis, call: CallId, trailer: &Trailer) {
+    /// Applies the levels, path and unspent retries of a trailer.
+    fn apply_trailer(&mut self, now: Millis, call: CallId, trailer: &Trailer) {
         for report in &trailer.reports {
             self.view.hear(now, report);
         }
-        let Some(o) = self.outbound.get_mut(&call) else { return };
-        // Less may come back than was given, never more.
-        let given = o.envelope.budget.left();
-        o.budget.give_back(trailer.unspent.min(given));
-        let own = o.envelope.service.clone();
+        let Some(outbound) = self.outbound.get_mut(&call) else { return };
+        // A peer cannot return more than it was given.
+        let given = outbound.envelope.budget.left();
+        outbound.budget.give_back(trailer.unspent.min(given));
+        let own = outbound.envelope.service.clone();
         let below = trailer.reports.iter().map(|r| &r.service);
-        match o.parent {
+        match outbound.parent {
             Some(parent) => {
-                let Some(above) = self.inbound.get_mut(&parent) else {
+                let Some(parent_call) = self.inbound.get_mut(&parent) else {
                     return;
                 };
-                above.pass(&own);
-                below.for_each(|service| above.pass(service));
+                parent_call.record_downstream(&own);
+                below.for_each(|service| {
+                    parent_call.record_downstream(service)
+                });
             }
             None => {
-                let class = o.envelope.class.clone();
+                let class = outbound.envelope.class.clone();
                 for service in below {
                     self.view.pass(now, &class, &own, service);
                 }
@@ -146,87 +155,98 @@
         }
     }
 
-    /// A whole answer came.
+    /// Completes an outbound call with an answer.
     fn complete(
         &mut self,
         now: Millis,
         call: CallId,
-        good: bool,
+        succeeded: bool,
         size: usize,
         out: &mut Vec<Action>,
     ) {
-        let Some(o) = self.end(now, call, good) else { return };
-        match o.owned() {
+        let Some(outbound) = self.remove_outbound(now, call, succeeded) else {
+            return;
+        };
+        match outbound.owned_ticket() {
             Some(ticket) => {
                 let nonce = ticket.nonce;
-                let kept = size <= self.config.answer_max;
+                let kept = size <= self.config.answer_max_bytes;
                 if kept {
-                    out.push(Action::Keep { nonce });
+                    out.push(Action::CacheAnswer { nonce });
                 }
                 let waiters = self.ledger.answered(nonce, kept);
                 let answers = waiters.into_iter();
-                out.extend(answers.map(answer));
+                out.extend(answers.map(answer_action));
             }
             None => {
-                let trailer = Some(rest(o.budget));
+                let trailer = Some(unspent_trailer(outbound.budget));
                 out.push(Action::Answer { call, trailer });
             }
         }
         out.push(Action::Release { call });
     }
 
-    /// Refuses an outbound call for good.
-    pub(super) fn give_up(
+    /// Ends an outbound call with a refusal, for all who wait for it.
+    pub(super) fn fail_outbound(
         &mut self,
         now: Millis,
         call: CallId,
         refusal: Refusal,
         out: &mut Vec<Action>,
     ) {
-        let Some(o) = self.end(now, call, false) else { return };
+        let Some(outbound) = self.remove_outbound(now, call, false) else {
+            return;
+        };
         out.push(Action::Release { call });
-        let waiters = match o.owned() {
-            Some(ticket) => self.settle(ticket, o.stage, refusal.ran),
+        let waiters = match outbound.owned_ticket() {
+            Some(ticket) => {
+                self.settle_ticket(ticket, outbound.phase, refusal.ran)
+            }
             None => vec![call],
         };
         for call in waiters {
-            self.stats.refused(refusal.kind);
-            let (refusal, trailer) = (refusal.clone(), rest(o.budget));
+            self.stats.count_refusal(refusal.kind);
+            let (refusal, trailer) =
+                (refusal.clone(), unspent_trailer(outbound.budget));
             let trailer = Some(trailer);
             out.push(Action::Refuse { call, refusal, trailer });
         }
     }
 
-    fn settle(
+    /// Records the end of an owned call that was not answered, and returns
+    /// the calls that wait for it.
+    fn settle_ticket(
         &mut self,
         ticket: Ticket,
-        stage: Stage,
+        phase: Phase,
         ran: Ran,
     ) -> Vec<CallId> {
-        self.marks.remove(&ticket.nonce);
-        match (stage, ran) {
-            (Stage::Marking, _) => self.ledger.withdraw(ticket.nonce),
+        self.pending_marks.remove(&ticket.nonce);
+        match (phase, ran) {
+            (Phase::AwaitingMark, _) => self.ledger.withdraw(ticket.nonce),
             (_, Ran::No) => self.ledger.not_run(ticket.nonce),
             _ => self.ledger.lost(ticket.nonce),
         }
     }
 
-    /// Takes an outbound call out of the table.
-    pub(super) fn end(
+    /// Removes a call from the table of outbound calls.
+    pub(super) fn remove_outbound(
         &mut self,
         now: Millis,
         call: CallId,
-        good: bool,
+        succeeded: bool,
     ) -> Option<Outbound> {
-        let o = self.outbound.remove(&call)?;
-        self.timers.remove(&(o.deadline, call));
-        self.asks.remove(&call);
-        if let Some(above) = o.parent.and_then(|p| self.inbound.get_mut(&p)) {
-            let unspent = o.budget.left();
-            let failed = (!good).then_some(o.envelope.fingerprint);
-            above.child_ends(now, call, unspent, failed);
+        let outbound = self.outbound.remove(&call)?;
+        self.timers.remove(&(outbound.deadline, call));
+        self.witness_queries.remove(&call);
+        if let Some(parent_call) =
+            outbound.parent.and_then(|p| self.inbound.get_mut(&p))
+        {
+            let unspent = outbound.budget.left();
+            let failed = (!succeeded).then_some(outbound.envelope.fingerprint);
+            parent_call.child_finished(now, call, unspent, failed);
         }
-        Some(o)
+        Some(outbound)
     }
 
     pub(super) fn cancel_outbound(
@@ -235,38 +255,40 @@
         call: CallId,
         out: &mut Vec<Action>,
     ) {
-        let o = &self.outbound[&call];
-        if let Some(ticket) = o.owned() {
-            // Work that must run once and has begun goes on.
+        let outbound = &self.outbound[&call];
+        if let Some(ticket) = outbound.owned_ticket() {
+            // An at-most-once call that has begun is not canceled.
             self.ledger.leave(ticket.nonce, call);
             return;
         }
-        if let Some(to) = o.to {
+        if let Some(to) = outbound.to {
             self.router.gave_up(to);
             out.push(Action::Abort { call });
         }
         let refusal = Refusal::new(Kind::Canceled, Ran::Unknown);
-        self.give_up(now, call, refusal, out);
+        self.fail_outbound(now, call, refusal, out);
     }
 
-    /// The time is up: the final answer goes out at once.
-    pub(super) fn outbound_late(
+    /// Handles the deadline of an outbound call.
+    pub(super) fn outbound_expired(
         &mut self,
         now: Millis,
         call: CallId,
         out: &mut Vec<Action>,
     ) {
-        let Some(o) = self.outbound.get_mut(&call) else { return };
-        let sent = o.stage != Stage::Marking;
+        let Some(outbound) = self.outbound.get_mut(&call) else { return };
+        let sent = outbound.phase != Phase::AwaitingMark;
         let ran = if sent { Ran::Unknown } else { Ran::No };
         let refusal = Refusal::new(Kind::Deadline, ran);
-        let owned = o.owned().filter(|_| sent && !o.late);
+        let owned = outbound
+            .owned_ticket()
+            .filter(|_| sent && !outbound.deadline_passed);
         if let Some(ticket) = owned {
-            // Those who wait are told; the run goes on, so that its outcome
-            // can still be told to those who ask for it.
-            o.late = true;
-            o.deadline = now + self.config.ticket_span;
-            self.timers.insert((o.deadline, call));
+            // Refuses the waiting calls, but lets the call go on so that the
+            // outcome of its ticket can still be inspected.
+            outbound.deadline_passed = true;
+            outbound.deadline = now + self.config.ticket_span;
+            self.timers.insert((outbound.deadline, call));
             let waiters = self.ledger.waiters(ticket.nonce).to_vec();
             for waiter in waiters {
                 self.ledger.leave(ticket.nonce, waiter);
@@ -274,19 +296,19 @@
             }
             return;
         }
-        if let Some(to) = o.to {
+        if let Some(to) = outbound.to {
             self.router.gave_up(to);
             out.push(Action::Abort { call });
         }
-        self.give_up(now, call, refusal, out);
+        self.fail_outbound(now, call, refusal, out);
     }
 }
 
-fn answer(call: CallId) -> Action {
+fn answer_action(call: CallId) -> Action {
     Action::Answer { call, trailer: None }
 }
 
-/// Tells whoever waits how many retries are left.
-fn rest(budget: Budget) -> Trailer {
+/// A trailer that returns the unspent retries.
+fn unspent_trailer(budget: Budget) -> Trailer {
     Trailer { unspent: budget.left(), ..Trailer::default() }
 }
--- a/crates/walnutmoor-core/src/node/contacts.rs
+++ b/crates/walnutmoor-core/src/node/contacts.rs
@@ -1,4 +1,5 @@
-//! The contacts that the platform keeps for each zone, for joining.
+//! The seed nodes of each zone, stored on the platform, through which a node
+//! joins the cluster.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,32 +11,34 @@
     time::Millis,
 };
 
-/// The contacts of one zone, as kept on the platform.
+/// The seed nodes of one zone, as stored on the platform.
 #[derive(Debug, Default, Deserialize, Serialize)]
 struct Contacts {
     nodes: Vec<NodeId>,
 }
 
-/// The most contacts of a zone.
-const CONTACTS: usize = 5;
+/// The maximum number of contacts of a zone.
+const CONTACTS_PER_ZONE: usize = 5;
 
-/// How often a node that found no contact tries again.
-const REJOIN: Millis = Millis(2_000);
+/// How often a node that knows no peer tries to join again.
+const REJOIN_INTERVAL: Millis = Millis(2_000);
 
 impl Core {
-    /// A node that knows nobody asks its contacts, and if there are none
-    /// becomes one.
+    /// Reads the contacts again to join the cluster, if this node knows no
+    /// live peer.
     pub(super) fn rejoin(&mut self, now: Millis, out: &mut Vec<Action>) {
         let alone = self.gossip.members().directory().live() <= 1;
-        let due = |at: Millis| now.since(at) >= REJOIN;
-        if !alone || !self.control.joined.is_some_and(due) {
+        let due = |at: Millis| now.since(at) >= REJOIN_INTERVAL;
+        if !alone || !self.control.last_join.is_some_and(due) {
             return;
         }
-        self.control.joined = Some(now);
+        self.control.last_join = Some(now);
         let prefix = contacts_prefix();
-        self.ask(Purpose::Contacts, Request::List { prefix }, out);
+        self.request_platform(Purpose::Join, Request::List { prefix }, out);
     }
 
+    /// Sends a join message to each contact. Without a contact or a live
+    /// peer, this node is the first of the cluster.
     pub(super) fn join(
         &mut self,
         now: Millis,
@@ -45,7 +48,7 @@
         let me = self.me.node;
         let others = contacts.into_iter().filter(|c| *c != me);
         self.control.contacts = others.collect();
-        self.control.joined = Some(now);
+        self.control.last_join = Some(now);
         let mut sent = Vec::new();
         for contact in &self.control.contacts {
             self.gossip.join(*contact, &mut sent);
@@ -54,10 +57,11 @@
         if sent.is_empty() && live <= 1 {
             self.gossip.alone();
         }
-        self.post_all(sent, out);
+        self.send_packets(sent, out);
     }
 
-    pub(super) fn listed(
+    /// Joins through the contacts that the platform listed.
+    pub(super) fn join_replied(
         &mut self,
         now: Millis,
         reply: Reply,
@@ -67,7 +71,7 @@
             Reply::Listed(objects) => objects,
             Reply::Absent => Vec::new(),
             _ => {
-                self.control.joined = Some(now);
+                self.control.last_join = Some(now);
                 return;
             }
         };
@@ -76,10 +80,10 @@
         self.join(now, nodes, out);
     }
 
-    /// Looks at the contacts of all zones: introduces this node to those
-    /// that it does not know, so that zones find each other, and writes
-    /// those of its own zone anew if too few of them are alive.
-    pub(super) fn contacts_read(
+    /// Checks the contacts of all zones: joins those that this node does not
+    /// know, which merges clusters that formed separately, and rewrites the
+    /// contacts of its own zone if too few of them are alive.
+    pub(super) fn contacts_check_replied(
         &mut self,
         now: Millis,
         reply: Reply,
@@ -91,27 +95,27 @@
             _ => return,
         };
         let tried = self.control.contacts.clone();
-        let strangers = self.strangers(&objects);
+        let unknown = self.unknown_contacts(&objects);
         let key = contacts_key(&self.config.zone);
         let own = objects.iter().find(|(k, _)| *k == key);
         let old = own.and_then(|(_, object)| read_contacts(object));
         let old = old.unwrap_or_default();
-        let untried = |n: &NodeId| strangers.contains(n) && !tried.contains(n);
+        let untried = |n: &NodeId| unknown.contains(n) && !tried.contains(n);
         let wait = old.nodes.iter().any(untried);
-        if !strangers.is_empty() {
-            self.join(now, strangers, out);
+        if !unknown.is_empty() {
+            self.join(now, unknown, out);
         }
         if wait {
-            // Somebody wrote since this node asked the contacts of its
-            // zone: their answer comes first.
+            // The contacts changed since this node last joined: wait for
+            // the answers of the new ones before replacing them.
             return;
         }
         let base = own.map(|(_, object)| object.version);
         self.write_contacts(base, &old, out);
     }
 
-    /// Contacts that are not known to be alive.
-    fn strangers(&self, objects: &[(Key, Object)]) -> Vec<NodeId> {
+    /// Returns the contacts that are not known to be alive.
+    fn unknown_contacts(&self, objects: &[(Key, Object)]) -> Vec<NodeId> {
         let directory = self.gossip.members().directory();
         let known =
             |n: &NodeId| directory.get(*n).is_some_and(|r| r.is_live());
@@ -120,6 +124,7 @@
         nodes.filter(|n| !known(n)).collect()
     }
 
+    /// Replaces the contacts of this node's zone if too few are alive.
     fn write_contacts(
         &mut self,
         base: Option<Version>,
@@ -129,18 +134,18 @@
         let directory = self.gossip.members().directory();
         let zone = directory.in_zone(&self.config.zone);
         let alive = old.nodes.iter().filter(|n| zone.contains(n)).count();
-        if alive >= CONTACTS.min(zone.len()) {
+        if alive >= CONTACTS_PER_ZONE.min(zone.len()) {
             return;
         }
         let mut nodes = zone.to_vec();
         nodes.sort_by_key(|n| std::cmp::Reverse(digest::of(n)));
-        nodes.truncate(CONTACTS);
+        nodes.truncate(CONTACTS_PER_ZONE);
         let contacts = Contacts { nodes };
         let value = serde_json::to_string(&contacts);
         let value = value.expect("plain data serializes");
         let key = contacts_key(&self.config.zone);
         let request = Request::Put { key, base, value };
-        self.ask(Purpose::WriteContacts, request, out);
+        self.request_platform(Purpose::WriteContacts, request, out);
     }
 }
 
--- a/crates/walnutmoor-core/src/node/control.rs
+++ b/crates/walnutmoor-core/src/node/control.rs
@@ -1,6 +1,6 @@
-//! Agreement: packets, the platform, configuration.
+//! Control plane: gossip packets, platform requests and configuration.
 
-use super::{Action, AskId, Core, Note, OpId, contacts::contacts_prefix};
+use super::{Action, Core, Note, OpId, QueryId, contacts::contacts_prefix};
 use crate::{
     config::{Author, Config, Entry, Op, Proposal, Step, Table},
     digest::{self, Map},
@@ -12,93 +12,89 @@
     time::Millis,
 };
 
-/// What a request to the platform was for.
+/// The purpose of a platform request, which selects the reply's handler.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum Purpose {
     Boot,
-    Contacts,
+    Join,
     Watch,
     Propose,
     Repair,
-    ReadContacts,
+    CheckContacts,
     WriteContacts,
 }
 
-/// The state of this node's dealings with the platform.
+/// The state of gossip timers, platform requests and zone contacts.
 #[derive(Debug)]
 pub(super) struct Control {
-    ops: Map<OpId, Purpose>,
+    pending_ops: Map<OpId, Purpose>,
     next_op: u64,
-    booted: bool,
+    boot_requested: bool,
     platform_read: bool,
-    watched: Option<Version>,
+    watched_version: Option<Version>,
     watching: bool,
-    resume: Millis,
+    resume_at: Millis,
     backoff: Millis,
     platform_up: bool,
     pub(super) contacts: Vec<NodeId>,
-    pub(super) joined: Option<Millis>,
-    check_at: Option<Millis>,
-    gossiped: Millis,
-    // When this node last asked itself whether it is a keeper: that takes a
-    // hash of each node of the zone, too much for every tick.
-    kept: Millis,
-    farewell: bool,
+    pub(super) last_join: Option<Millis>,
+    next_contacts_check: Option<Millis>,
+    last_gossip_tick: Millis,
+    // `is_maintainer` hashes each node of the zone: not done on every tick.
+    last_maintenance: Millis,
+    left_announced: bool,
 }
 
-/// How many nodes of each zone hold a watch and keep the contacts. Two, so
-/// that one may be down; their share of the platform's rates does not grow
-/// with the fleet.
-const KEEPERS: usize = 2;
+/// The number of nodes per zone that watch the platform and maintain the
+/// contacts: bounds the load on the platform and tolerates one failure.
+const MAINTAINERS_PER_ZONE: usize = 2;
 
-/// How many peers a new configuration is pushed to at once. With four, news
-/// reaches all but 2% of any fleet in a handful of rounds; probes mend the
-/// rest within seconds.
-const FANOUT: usize = 4;
+/// The number of peers that a change is pushed to; probes reach the others.
+const PUSH_FANOUT: usize = 4;
 
-/// The first pause after the platform failed; it doubles up to the longest.
-const BACKOFF: Millis = Millis(250);
+/// The first backoff after a platform failure; it doubles with each failure.
+const BACKOFF_MIN: Millis = Millis(250);
 
-/// The longest pause, short enough to see the platform return.
+/// The longest backoff after platform failures.
 const BACKOFF_MAX: Millis = Millis(4_000);
 
-/// How often keepers check the contacts.
-const CHECK: Millis = Millis(10_000);
+/// The mean interval of contact checks by the maintainers of a zone.
+const CONTACTS_CHECK_INTERVAL: Millis = Millis(10_000);
 
-/// How long a fresh node waits, on average, before it first checks them.
-const FIRST_CHECK: Millis = Millis(1_000);
+/// The mean delay of a new node's first contact check.
+const FIRST_CONTACTS_CHECK_DELAY: Millis = Millis(1_000);
 
-/// How long a change of configuration is tried.
-const PROPOSE_FOR: Millis = Millis(10_000);
+/// How long a configuration proposal is retried.
+const PROPOSAL_TIMEOUT: Millis = Millis(10_000);
 
-/// How often the gossip's own clock is looked at.
-const GOSSIP: Millis = Millis(50);
+/// The shortest interval between ticks of the gossip protocol.
+const GOSSIP_TICK_INTERVAL: Millis = Millis(50);
 
 impl Control {
     pub(super) fn new() -> Control {
         Control {
-            ops: Map::default(),
+            pending_ops: Map::default(),
             next_op: 0,
-            booted: false,
+            boot_requested: false,
             platform_read: false,
-            watched: None,
+            watched_version: None,
             watching: false,
-            resume: Millis(0),
-            backoff: BACKOFF,
+            resume_at: Millis(0),
+            backoff: BACKOFF_MIN,
             platform_up: true,
             contacts: Vec::new(),
-            joined: None,
-            check_at: None,
-            gossiped: Millis(0),
-            kept: Millis(0),
-            farewell: false,
+            last_join: None,
+            next_contacts_check: None,
+            last_gossip_tick: Millis(0),
+            last_maintenance: Millis(0),
+            left_announced: false,
         }
     }
 }
 
 impl Core {
-    /// Sends a packet.
-    pub(super) fn post(
+    /// Sends a packet to a peer.
+    pub(super) fn send_packet(
         &mut self,
         to: NodeId,
         body: Body,
@@ -109,17 +105,18 @@
         out.push(Action::Send { to, packet });
     }
 
-    pub(super) fn post_all(
+    pub(super) fn send_packets(
         &mut self,
         bodies: Vec<(NodeId, Body)>,
         out: &mut Vec<Action>,
     ) {
         for (to, body) in bodies {
-            self.post(to, body, out);
+            self.send_packet(to, body, out);
         }
     }
 
-    pub(super) fn ask(
+    /// Sends a request to the platform.
+    pub(super) fn request_platform(
         &mut self,
         purpose: Purpose,
         request: Request,
@@ -127,48 +124,49 @@
     ) {
         self.control.next_op += 1;
         let op = OpId(self.control.next_op);
-        self.control.ops.insert(op, purpose);
+        self.control.pending_ops.insert(op, purpose);
         self.stats.platform_calls += 1;
         out.push(Action::Platform { op, request });
     }
 
     pub(super) fn next_control_wake(&self) -> Millis {
         let gossip = self.gossip.members().next_wake();
-        let gossip = gossip.max(self.control.gossiped + GOSSIP);
+        let gossip =
+            gossip.max(self.control.last_gossip_tick + GOSSIP_TICK_INTERVAL);
         let proposer = self.proposer.next_wake().unwrap_or(Millis::NEVER);
-        let steady = self.control.gossiped + member::PERIOD;
+        let steady = self.control.last_gossip_tick + member::PERIOD;
         gossip.min(proposer).min(steady)
     }
 
     pub(super) fn tick_control(&mut self, now: Millis, out: &mut Vec<Action>) {
-        if !self.control.booted {
-            self.control.booted = true;
+        if !self.control.boot_requested {
+            self.control.boot_requested = true;
             self.boot(out);
         }
-        if now.since(self.control.gossiped) >= GOSSIP {
-            self.control.gossiped = now;
+        if now.since(self.control.last_gossip_tick) >= GOSSIP_TICK_INTERVAL {
+            self.control.last_gossip_tick = now;
             let mut sent = Vec::new();
             self.gossip.tick(now, &mut self.rng, &mut sent);
-            self.post_all(sent, out);
+            self.send_packets(sent, out);
             self.note_members(out);
         }
         let mut steps = Vec::new();
         self.proposer.tick(now, &mut steps);
-        self.take_steps(steps, out);
-        self.server_is_gone(out);
+        self.apply_steps(steps, out);
+        self.finish_server_drain(out);
         self.rejoin(now, out);
-        let due = now.since(self.control.kept) >= member::PERIOD;
-        if due && now >= self.control.resume {
-            self.control.kept = now;
-            self.keep(now, out);
+        let due = now.since(self.control.last_maintenance) >= member::PERIOD;
+        if due && now >= self.control.resume_at {
+            self.control.last_maintenance = now;
+            self.maintain_contacts(now, out);
         }
     }
 
     fn boot(&mut self, out: &mut Vec<Action>) {
         let key = Key::config();
-        self.ask(Purpose::Boot, Request::Get { key }, out);
+        self.request_platform(Purpose::Boot, Request::Get { key }, out);
         let prefix = contacts_prefix();
-        self.ask(Purpose::Contacts, Request::List { prefix }, out);
+        self.request_platform(Purpose::Join, Request::List { prefix }, out);
     }
 
     fn note_members(&mut self, out: &mut Vec<Action>) {
@@ -185,111 +183,130 @@
         }
     }
 
-    /// True if this node is one of the few of its zone that hold a watch
-    /// and keep the contacts: the highest by a hash of zone and node.
-    fn is_keeper(&self) -> bool {
+    /// Returns true if this node is a maintainer of its zone: one of those
+    /// with the highest hash of zone and node.
+    fn is_maintainer(&self) -> bool {
         let members = self.gossip.members();
         let zone = &self.config.zone;
         let weight = |n: &NodeId| digest::of(&(zone.as_str(), n));
         let own = weight(&self.me.node);
         let zone = members.directory().in_zone(zone);
         let above = zone.iter().filter(|n| weight(n) > own);
-        above.take(KEEPERS).count() < KEEPERS
+        above.take(MAINTAINERS_PER_ZONE).count() < MAINTAINERS_PER_ZONE
     }
 
-    fn keep(&mut self, now: Millis, out: &mut Vec<Action>) {
+    /// Retries the boot request or, on a maintainer, keeps the watch open and
+    /// checks the contacts.
+    fn maintain_contacts(&mut self, now: Millis, out: &mut Vec<Action>) {
         if !self.control.platform_read {
-            if !self.op_open(&Purpose::Boot) {
+            if !self.is_pending(&Purpose::Boot) {
                 let key = Key::config();
-                self.ask(Purpose::Boot, Request::Get { key }, out);
+                self.request_platform(
+                    Purpose::Boot,
+                    Request::Get { key },
+                    out,
+                );
             }
             return;
         }
         if self.draining {
             return;
         }
-        let due = self.check_due(now);
+        let due = self.contacts_check_due(now);
         let idle = !self.control.watching;
-        if !(due || idle) || !self.is_keeper() {
+        if !(due || idle) || !self.is_maintainer() {
             return;
         }
         if idle {
             self.control.watching = true;
-            let (key, known) = (Key::config(), self.control.watched);
-            self.ask(Purpose::Watch, Request::Watch { key, known }, out);
-        }
-        if due && !self.op_open(&Purpose::ReadContacts) {
+            let (key, known) = (Key::config(), self.control.watched_version);
+            self.request_platform(
+                Purpose::Watch,
+                Request::Watch { key, known },
+                out,
+            );
+        }
+        if due && !self.is_pending(&Purpose::CheckContacts) {
             let prefix = contacts_prefix();
-            self.ask(Purpose::ReadContacts, Request::List { prefix }, out);
+            self.request_platform(
+                Purpose::CheckContacts,
+                Request::List { prefix },
+                out,
+            );
         }
     }
 
-    /// True if the contacts are to be checked now. The first check comes
-    /// after a random wait, so that a fleet that starts at once does not
-    /// write at once.
-    fn check_due(&mut self, now: Millis) -> bool {
-        let Some(at) = self.control.check_at else {
-            let first = now + self.spread(FIRST_CHECK);
-            self.control.check_at = Some(first);
+    /// Returns true if a contact check is due, and schedules the next one.
+    /// The first delay is random, so that nodes that start together do not
+    /// write together.
+    fn contacts_check_due(&mut self, now: Millis) -> bool {
+        let Some(at) = self.control.next_contacts_check else {
+            let first = now + self.jitter(FIRST_CONTACTS_CHECK_DELAY);
+            self.control.next_contacts_check = Some(first);
             return false;
         };
         if now < at {
             return false;
         }
-        let next = now + self.spread(CHECK);
-        self.control.check_at = Some(next);
+        let next = now + self.jitter(CONTACTS_CHECK_INTERVAL);
+        self.control.next_contacts_check = Some(next);
         true
     }
 
-    fn op_open(&self, purpose: &Purpose) -> bool {
-        self.control.ops.values().any(|p| p == purpose)
+    fn is_pending(&self, purpose: &Purpose) -> bool {
+        self.control.pending_ops.values().any(|p| p == purpose)
     }
 
-    /// The platform answered.
-    pub(super) fn platform(
+    /// Handles a reply of the platform.
+    pub(super) fn platform_replied(
         &mut self,
         now: Millis,
         op: OpId,
         reply: Reply,
         out: &mut Vec<Action>,
     ) {
-        let Some(purpose) = self.control.ops.remove(&op) else { return };
+        let Some(purpose) = self.control.pending_ops.remove(&op) else {
+            return;
+        };
         self.note_platform(now, reply != Reply::Down, out);
         match purpose {
-            Purpose::Boot => self.booted(reply, out),
-            Purpose::Watch => self.watched(now, reply, out),
+            Purpose::Boot => self.boot_replied(reply, out),
+            Purpose::Watch => self.watch_replied(now, reply, out),
             Purpose::Repair => {}
-            Purpose::Contacts => self.listed(now, reply, out),
-            Purpose::ReadContacts => self.contacts_read(now, reply, out),
+            Purpose::Join => self.join_replied(now, reply, out),
+            Purpose::CheckContacts => {
+                self.contacts_check_replied(now, reply, out)
+            }
             Purpose::WriteContacts => {}
             Purpose::Propose => {
                 let mut steps = Vec::new();
                 let in_force = &self.configuration;
                 self.proposer.reply(now, reply, in_force, &mut steps);
-                self.take_steps(steps, out);
+                self.apply_steps(steps, out);
             }
         }
     }
 
+    /// Updates the backoff and logs a change of the platform's reachability.
     fn note_platform(&mut self, now: Millis, up: bool, out: &mut Vec<Action>) {
         if up {
-            self.control.backoff = BACKOFF;
+            self.control.backoff = BACKOFF_MIN;
         } else {
             let pause = self.control.backoff;
             let longer = Millis(pause.0 * 2).min(BACKOFF_MAX);
             self.control.backoff = longer;
-            self.control.resume = now + self.spread(pause);
+            self.control.resume_at = now + self.jitter(pause);
         }
         if std::mem::replace(&mut self.control.platform_up, up) != up {
             out.push(Action::Note(Note::Platform(up)));
         }
     }
 
-    fn booted(&mut self, reply: Reply, out: &mut Vec<Action>) {
+    fn boot_replied(&mut self, reply: Reply, out: &mut Vec<Action>) {
         match reply {
             Reply::Found(object) => {
                 self.control.platform_read = true;
-                self.offered(object, out);
+                self.consider_stored(object, out);
             }
             Reply::Absent => {
                 self.control.platform_read = true;
@@ -299,21 +316,26 @@
         }
     }
 
-    fn watched(&mut self, now: Millis, reply: Reply, out: &mut Vec<Action>) {
+    fn watch_replied(
+        &mut self,
+        now: Millis,
+        reply: Reply,
+        out: &mut Vec<Action>,
+    ) {
         self.control.watching = false;
         if let Reply::Found(object) = reply {
-            self.offered(object, out);
+            self.consider_stored(object, out);
         }
-        if now >= self.control.resume {
-            self.keep(now, out);
+        if now >= self.control.resume_at {
+            self.maintain_contacts(now, out);
         }
     }
 
-    /// The platform offers a configuration. An older one than is in force
-    /// means that the store came back with an older state: it is not
-    /// adopted, and the one in force is written over it.
-    fn offered(&mut self, object: Object, out: &mut Vec<Action>) {
-        self.control.watched = Some(object.version);
+    /// Adopts the stored configuration, unless it is older than the one in
+    /// force, as after a restore from a backup: then it is overwritten with
+    /// the one in force.
+    fn consider_stored(&mut self, object: Object, out: &mut Vec<Action>) {
+        self.control.watched_version = Some(object.version);
         let Ok(config) = Config::from_json(&object.value) else { return };
         if config.revision >= self.configuration.revision {
             self.adopt(config, out);
@@ -327,36 +349,42 @@
             base: Some(object.version),
             value: value.expect("plain data serializes"),
         };
-        self.ask(Purpose::Repair, request, out);
+        self.request_platform(Purpose::Repair, request, out);
     }
 
-    /// Takes a configuration if it is newer, and passes it on.
+    /// Adopts a configuration if it is newer, and pushes it to peers.
     fn adopt(&mut self, config: Config, out: &mut Vec<Action>) {
         if !self.is_newer(&config) {
-            self.try_force(out);
+            self.try_enter_force(out);
             return;
         }
         let before = self.configuration.revision;
         self.configuration = config;
-        self.refresh(before, out);
+        self.configuration_changed(before, out);
         self.push_configuration(before, out);
     }
 
-    fn refresh(&mut self, before: Revision, out: &mut Vec<Action>) {
+    /// Updates what depends on the configuration.
+    fn configuration_changed(
+        &mut self,
+        before: Revision,
+        out: &mut Vec<Action>,
+    ) {
         self.table = Table::new(&self.configuration);
         let revision = self.configuration.revision;
         self.stats.changes += revision.0.saturating_sub(before.0);
         let was = self.in_force;
-        self.try_force(out);
+        self.try_enter_force(out);
         if was {
             out.push(Action::Note(Note::InForce(revision)));
         }
     }
 
-    /// A fresh node serves once the platform spoke or, in an outage, peers
-    /// of more than one zone did: one peer alone may be stale itself.
-    fn try_force(&mut self, out: &mut Vec<Action>) {
-        let zones = self.heard_zones.len();
+    /// Brings the configuration into force once it was read from the platform
+    /// or confirmed by peers of at least two zones: a single peer may be
+    /// stale.
+    fn try_enter_force(&mut self, out: &mut Vec<Action>) {
+        let zones = self.confirmed_zones.len();
         let ready = self.control.platform_read || zones > 1;
         if self.in_force || !ready {
             return;
@@ -368,25 +396,26 @@
     }
 
     fn push_configuration(&mut self, before: Revision, out: &mut Vec<Action>) {
-        for peer in self.peers() {
-            self.give_configuration(peer, before, out);
+        for peer in self.random_peers() {
+            self.send_configuration(peer, before, out);
         }
     }
 
-    /// Some peers, each once.
-    fn peers(&mut self) -> Vec<NodeId> {
+    /// Returns up to [`PUSH_FANOUT`] distinct random peers.
+    fn random_peers(&mut self) -> Vec<NodeId> {
         let members = self.gossip.members();
         let mut peers = Vec::new();
-        for _ in 0..2 * FANOUT {
+        for _ in 0..2 * PUSH_FANOUT {
             let peer = members.any(&mut self.rng);
             peers.extend(peer.filter(|p| !peers.contains(p)));
         }
-        peers.truncate(FANOUT);
+        peers.truncate(PUSH_FANOUT);
         peers
     }
 
-    /// Gives a peer what comes after a revision: the entries, or all.
-    fn give_configuration(
+    /// Sends a peer the entries after `known`, or the whole configuration if
+    /// the journal no longer holds them.
+    fn send_configuration(
         &mut self,
         to: NodeId,
         known: Revision,
@@ -396,11 +425,11 @@
             Some(entries) => Body::Entries(entries.to_vec()),
             None => Body::Whole(Box::new(self.configuration.clone())),
         };
-        self.post(to, body, out);
+        self.send_packet(to, body, out);
     }
 
-    /// A packet came from a peer.
-    pub(super) fn packet(
+    /// Handles a packet from a peer.
+    pub(super) fn packet_received(
         &mut self,
         now: Millis,
         packet: Packet,
@@ -411,15 +440,17 @@
         let mut sent = Vec::new();
         let rng = &mut self.rng;
         let rest = self.gossip.receive(now, packet, rng, &mut sent);
-        self.post_all(sent, out);
+        self.send_packets(sent, out);
         self.note_members(out);
-        self.hear_zone(from, theirs, out);
+        self.compare_revision(from, theirs, out);
         if let Some(body) = rest {
-            self.body(now, from, body, out);
+            self.body_received(now, from, body, out);
         }
     }
 
-    fn hear_zone(
+    /// Requests the configuration of a peer that has a newer one, or counts
+    /// the peer's zone as a confirmation of this node's own.
+    fn compare_revision(
         &mut self,
         from: NodeId,
         theirs: Revision,
@@ -427,22 +458,22 @@
     ) {
         let own = self.configuration.revision;
         if theirs > own {
-            self.post(from, Body::Pull(own), out);
+            self.send_packet(from, Body::Pull(own), out);
             return;
         }
         if self.in_force {
             return;
         }
-        // A zone counts once this node is at least as new as its peer.
+        // Only equal, non-initial revisions confirm each other.
         let directory = self.gossip.members().directory();
         let zone = directory.get(from).map(|r| r.zone.clone());
         if let Some(zone) = zone.filter(|_| theirs == own && own.0 > 0) {
-            self.heard_zones.insert(zone);
-            self.try_force(out);
+            self.confirmed_zones.insert(zone);
+            self.try_enter_force(out);
         }
     }
 
-    fn body(
+    fn body_received(
         &mut self,
         now: Millis,
         from: NodeId,
@@ -451,27 +482,28 @@
     ) {
         match body {
             Body::Pull(known) if known < self.configuration.revision => {
-                self.give_configuration(from, known, out)
+                self.send_configuration(from, known, out)
             }
-            Body::Entries(entries) => self.follow(from, &entries, out),
+            Body::Entries(entries) => self.apply_entries(from, &entries, out),
             Body::Whole(config) => self.adopt(*config, out),
             Body::Stamped(party, stamp) => {
-                self.stamped(now, party, stamp, out)
+                self.stamp_received(now, party, stamp, out)
             }
             Body::Marked(ticket, verdict) => {
-                self.marked(now, ticket, verdict, out)
+                self.mark_received(now, ticket, verdict, out)
             }
             Body::Told(ticket, verdict) => {
-                self.told(now, ticket, verdict, out)
+                self.verdict_received(now, ticket, verdict, out)
             }
             Body::Outcome(ticket, outcome) => {
-                self.outcome(ticket, outcome, out)
+                self.outcome_received(ticket, outcome, out)
             }
-            other => self.answer_about(now, from, other, out),
+            other => self.answer_peer(now, from, other, out),
         }
     }
 
-    fn follow(
+    /// Applies configuration entries, and requests those that are missing.
+    fn apply_entries(
         &mut self,
         from: NodeId,
         entries: &[Entry],
@@ -483,62 +515,73 @@
         }
         let after = self.configuration.revision;
         if after > before {
-            self.refresh(before, out);
+            self.configuration_changed(before, out);
             self.push_configuration(before, out);
         }
         let last = entries.last().map_or(after, |e| e.revision);
         if last > after {
-            self.post(from, Body::Pull(after), out);
+            self.send_packet(from, Body::Pull(after), out);
         }
     }
 
-    /// An operator proposes a change.
+    /// Starts to write an operator's change to the platform.
     pub(super) fn propose(
         &mut self,
         now: Millis,
-        ask: AskId,
+        query: QueryId,
         author: Author,
         op: Op,
         base: Option<Revision>,
         out: &mut Vec<Action>,
     ) {
-        let deadline = now + PROPOSE_FOR;
-        let new = Proposal { ask, author, op, base, deadline };
+        let deadline = now + PROPOSAL_TIMEOUT;
+        let new = Proposal { ask: query, author, op, base, deadline };
         let mut steps = Vec::new();
         self.proposer.propose(new, &mut steps);
-        self.take_steps(steps, out);
+        self.apply_steps(steps, out);
     }
 
-    fn take_steps(&mut self, steps: Vec<Step<AskId>>, out: &mut Vec<Action>) {
+    fn apply_steps(
+        &mut self,
+        steps: Vec<Step<QueryId>>,
+        out: &mut Vec<Action>,
+    ) {
         for step in steps {
             match step {
-                Step::Ask(request) => self.ask(Purpose::Propose, request, out),
-                Step::Tell(ask, result) => {
-                    out.push(Action::Decided { ask, result })
+                Step::Ask(request) => {
+                    self.request_platform(Purpose::Propose, request, out)
+                }
+                Step::Tell(query, result) => {
+                    out.push(Action::Decided { query, result })
                 }
                 Step::Adopt(config, version) => {
                     self.control.platform_read = true;
-                    self.control.watched = Some(version);
+                    self.control.watched_version = Some(version);
                     self.adopt(config, out);
                 }
             }
         }
     }
 
-    /// Tells some peers at once of a change that must not wait for the
-    /// next probe.
-    pub(super) fn push_news(&mut self, out: &mut Vec<Action>) {
-        for peer in self.peers() {
+    /// Sends pending membership updates to random peers at once, without
+    /// waiting for the next probe.
+    pub(super) fn push_membership(&mut self, out: &mut Vec<Action>) {
+        for peer in self.random_peers() {
             let message = member::Message::Ack { seq: 0 };
-            self.post(peer, Body::Member(message), out);
+            self.send_packet(peer, Body::Member(message), out);
         }
     }
 
-    pub(super) fn say_left(&mut self, now: Millis, out: &mut Vec<Action>) {
-        if std::mem::replace(&mut self.control.farewell, true) {
+    /// Tells peers once that this node has left.
+    pub(super) fn announce_left(
+        &mut self,
+        now: Millis,
+        out: &mut Vec<Action>,
+    ) {
+        if std::mem::replace(&mut self.control.left_announced, true) {
             return;
         }
         self.gossip.members_mut().say(now, Status::Left, None);
-        self.push_news(out);
+        self.push_membership(out);
     }
 }
--- a/crates/walnutmoor-core/src/node/event.rs
+++ b/crates/walnutmoor-core/src/node/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a node, and what it wants done.
+//! The inputs of a node ([`Event`]) and its outputs ([`Action`]).
 
 use serde::{Deserialize, Serialize};
 
@@ -14,7 +14,8 @@
     ticket::{Nonce, Ticket},
 };
 
-/// Whom to tell: an operator's or a caller's question, by number.
+/// Identifies a query of a caller or an operator. The driver chooses it; the
+/// action that answers the query carries it back.
 #[derive(
     Clone,
     Copy,
@@ -28,9 +29,10 @@
     Serialize,
 )]
 #[serde(transparent)]
-pub struct AskId(pub u64);
+pub struct QueryId(pub u64);
 
-/// A request to the platform, by number.
+/// Identifies a request to the platform. The node chooses it; the driver
+/// passes it back with the reply.
 #[derive(
     Clone,
     Copy,
@@ -46,190 +48,201 @@
 #[serde(transparent)]
 pub struct OpId(pub u64);
 
-/// What happens to a node.
+/// An input of a node.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// Time passed.
+    /// A timer is due.
     Tick,
-    /// A caller, or the own backend server, calls.
+    /// A call from a caller or from this node's backend server.
     Arrive(Arrival),
-    /// A peer passes a call on.
+    /// A call that a peer forwarded.
     Hop {
-        /// Its number in this node.
+        /// The id that this node gives the call.
         call: CallId,
-        /// What travels with it.
+        /// The metadata that the peer sent with the call.
         envelope: Envelope,
     },
-    /// A call that was forwarded or started came back.
+    /// A call that was forwarded or started has ended.
     Replied {
-        /// Which.
+        /// The call.
         call: CallId,
-        /// How.
+        /// The answer, or why there is none.
         reply: Reply,
     },
-    /// Whoever waited for a call went away.
+    /// The client of a call disconnected.
     Cancel {
-        /// Which.
+        /// The call.
         call: CallId,
     },
-    /// A caller wants a ticket.
+    /// A caller requests a ticket; answered by [`Action::Issued`].
     Issue {
-        /// Whom to tell.
-        ask: AskId,
+        /// Identifies the request.
+        #[serde(rename = "ask")]
+        query: QueryId,
     },
-    /// A caller wants to know what became of a ticket.
+    /// A caller requests the outcome of a ticket; answered by
+    /// [`Action::Inspected`].
     Inspect {
-        /// Whom to tell.
-        ask: AskId,
-        /// Which.
+        /// Identifies the request.
+        #[serde(rename = "ask")]
+        query: QueryId,
+        /// The ticket.
         ticket: Ticket,
     },
-    /// The backend server says what it is.
+    /// The backend server announced its service and capacity.
     Announce(Announcement),
-    /// The backend server says that it is leaving.
+    /// The backend server starts to drain.
     Leave,
-    /// A packet came from a peer.
+    /// A packet from a peer.
     Packet(Box<Packet>),
-    /// The platform answered.
+    /// The platform replied to an [`Action::Platform`].
     Platform {
-        /// To what.
+        /// The request that was answered.
         op: OpId,
-        /// The answer.
+        /// The reply.
         reply: platform::Reply,
     },
-    /// An operator proposes a change.
+    /// An operator proposes a change of configuration; answered by
+    /// [`Action::Decided`].
     Propose {
-        /// Whom to tell.
-        ask: AskId,
-        /// Who and when.
+        /// Identifies the request.
+        #[serde(rename = "ask")]
+        query: QueryId,
+        /// Who made the change, and when.
         author: Author,
-        /// What.
+        /// The change.
         op: Op,
-        /// The revision that it is based on, if the operator named one.
+        /// The revision that the change is based on, if the operator gave
+        /// one.
         base: Option<Revision>,
     },
 }
 
-/// What a node wants done.
+/// An output of a node, for the driver to carry out.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// Refuse a call, as its final answer.
+    /// End a call with a refusal.
     Refuse {
-        /// Which.
+        /// The call.
         call: CallId,
-        /// The answer.
+        /// The reason.
         refusal: Refusal,
-        /// What travels back, if a peer waits.
+        /// The metadata to return if a peer forwarded the call.
         trailer: Option<Trailer>,
     },
-    /// Give the answer that just came to whoever waits for a call.
+    /// End a call with the answer of the event being handled.
     Answer {
-        /// Which.
+        /// The call.
         call: CallId,
-        /// What travels back, if a peer waits.
+        /// The metadata to return if a peer forwarded the call.
         trailer: Option<Trailer>,
     },
-    /// Give a kept answer.
+    /// End a call with a cached answer.
     Replay {
-        /// To whom.
+        /// The call.
         call: CallId,
-        /// Which.
+        /// The key of the answer.
         nonce: Nonce,
     },
-    /// Keep the answer that just came.
-    Keep {
-        /// Under this.
+    /// Cache the answer of the event being handled, for [`Action::Replay`].
+    #[serde(rename = "keep")]
+    CacheAnswer {
+        /// The key of the answer.
         nonce: Nonce,
     },
-    /// A kept answer is no longer needed.
-    Forget {
-        /// Which.
+    /// Remove a cached answer, if there is one.
+    #[serde(rename = "forget")]
+    EvictAnswer {
+        /// The key of the answer.
         nonce: Nonce,
     },
     /// Send a call's request to a peer.
     Forward {
-        /// Which.
+        /// The call.
         call: CallId,
-        /// To whom.
+        /// The peer.
         to: NodeId,
-        /// What travels with it.
+        /// The metadata to send with the call.
         envelope: Envelope,
     },
-    /// Send a call's request to the own backend server.
+    /// Send a call's request to this node's backend server.
     Start {
-        /// Which; deeper calls name it as their parent.
+        /// The call. Calls that the server makes for it have it as parent.
         call: CallId,
-        /// What the server is told.
+        /// The metadata to send with the call.
         envelope: Envelope,
     },
-    /// Break off what was forwarded or started.
+    /// Abort a call that was forwarded or started.
     Abort {
-        /// Which.
+        /// The call.
         call: CallId,
     },
-    /// A call's request is no longer needed.
+    /// Free a call's request, which is not sent again.
     Release {
-        /// Which.
+        /// The call.
         call: CallId,
     },
-    /// Send a packet.
+    /// Send a packet to a peer.
     Send {
-        /// To whom.
+        /// The peer.
         to: NodeId,
         /// The packet.
         packet: Box<Packet>,
     },
-    /// Ask the platform.
+    /// Send a request to the platform.
     Platform {
-        /// Its number.
+        /// Identifies the request.
         op: OpId,
-        /// What.
+        /// The request.
         request: platform::Request,
     },
-    /// Tell whoever asked for a ticket.
+    /// Answer an [`Event::Issue`].
     Issued {
-        /// Whom.
-        ask: AskId,
-        /// The ticket, or why not.
+        /// Identifies the request.
+        #[serde(rename = "ask")]
+        query: QueryId,
+        /// The ticket, or why none was issued.
         result: Result<Ticket, Refusal>,
     },
-    /// Tell whoever asked about a ticket.
+    /// Answer an [`Event::Inspect`].
     Inspected {
-        /// Whom.
-        ask: AskId,
-        /// What became of it, or why nobody can tell.
+        /// Identifies the request.
+        #[serde(rename = "ask")]
+        query: QueryId,
+        /// The outcome of the ticket, or why it is unknown.
         #[serde(skip)]
         result: Result<Outcome, Refusal>,
     },
-    /// Tell an operator what became of a change.
+    /// Answer an [`Event::Propose`].
     Decided {
-        /// Whom.
-        ask: AskId,
-        /// The revision that it made, or why not.
+        /// Identifies the request.
+        #[serde(rename = "ask")]
+        query: QueryId,
+        /// The revision that the change created, or why it was not made.
         result: Result<Revision, Refusal>,
     },
-    /// Something changed that operators want to see in the log.
+    /// Log a change of state.
     Note(Note),
 }
 
-/// A change of state worth a line in the log.
+/// A change of state to log.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Note {
-    /// A configuration came into force.
+    /// The configuration of this revision came into force.
     InForce(Revision),
-    /// The store offers an older configuration than the one in force.
+    /// The store holds this revision, older than the one in force.
     StoreBehind(Revision),
-    /// The backend server's state changed.
+    /// The backend server entered this state.
     Server(String),
-    /// The level in front of the backend server began or ended to refuse.
+    /// Load shedding for the backend server began (`true`) or ended.
     Shedding(bool),
-    /// A node came up.
+    /// A peer joined or recovered.
     Up(NodeId),
-    /// A node went down.
+    /// A peer failed or left.
     Down(NodeId),
-    /// The platform stopped or began to answer.
+    /// The platform became reachable (`true`) or unreachable.
     Platform(bool),
 }
--- a/crates/walnutmoor-core/src/node/inbound.rs
+++ b/crates/walnutmoor-core/src/node/inbound.rs
@@ -1,6 +1,7 @@
-//! Calls on their way in: the gate, the backend server, drains.
+//! Inbound calls: queueing, the backend server, and its announcement and
+//! drain.
 
-use super::{Action, Core, Note, outbound::Failed};
+use super::{Action, Core, Note, outbound::FailedCalls};
 use crate::{
     admit::{Level, PATH_MAX, Report},
     call::{Envelope, Leg, Reply, Trailer, is_overload},
@@ -14,19 +15,19 @@
     time::Millis,
 };
 
-/// A call that this node's backend server runs or will run.
+/// A call that is queued for or running on this node's backend server.
 #[derive(Debug)]
 pub(super) struct Inbound {
     pub(super) envelope: Envelope,
     pub(super) deadline: Millis,
     pub(super) budget: Budget,
-    pub(super) failed: Failed,
+    pub(super) failed: FailedCalls,
     started: Option<Millis>,
     children: Vec<CallId>,
-    passed: Vec<Service>,
-    // The time during which at least one deeper call was under way.
-    below: Millis,
-    below_since: Millis,
+    downstream: Vec<Service>,
+    // The total time with at least one child call in flight.
+    children_time: Millis,
+    children_since: Millis,
     extended: bool,
 }
 
@@ -36,24 +37,24 @@
             budget: envelope.budget,
             envelope,
             deadline,
-            failed: Failed::default(),
+            failed: FailedCalls::default(),
             started: None,
             children: Vec::new(),
-            passed: Vec::new(),
-            below: Millis(0),
-            below_since: Millis(0),
+            downstream: Vec::new(),
+            children_time: Millis(0),
+            children_since: Millis(0),
             extended: false,
         }
     }
 
-    pub(super) fn child_begins(&mut self, now: Millis, call: CallId) {
+    pub(super) fn child_started(&mut self, now: Millis, call: CallId) {
         if self.children.is_empty() {
-            self.below_since = now;
+            self.children_since = now;
         }
         self.children.push(call);
     }
 
-    pub(super) fn child_ends(
+    pub(super) fn child_finished(
         &mut self,
         now: Millis,
         call: CallId,
@@ -63,39 +64,39 @@
         self.children.retain(|c| *c != call);
         self.budget.give_back(unspent);
         if self.children.is_empty() {
-            self.below += now.since(self.below_since);
+            self.children_time += now.since(self.children_since);
         }
         if let Some(fingerprint) = failed
-            && self.failed.len() < FAILED_MAX
+            && self.failed.len() < FAILED_CALLS_MAX
         {
             self.failed.insert(fingerprint);
         }
     }
 
-    /// Notes that this call passed a service.
-    pub(super) fn pass(&mut self, service: &Service) {
-        let room = self.passed.len() < PATH_MAX;
-        if room && !self.passed.contains(service) {
-            self.passed.push(service.clone());
+    /// Records a service that this call depends on.
+    pub(super) fn record_downstream(&mut self, service: &Service) {
+        let room = self.downstream.len() < PATH_MAX;
+        if room && !self.downstream.contains(service) {
+            self.downstream.push(service.clone());
         }
     }
 
-    /// The time spent at the server itself, without deeper calls.
-    fn own(&self, now: Millis) -> Millis {
+    /// The time spent in the server itself, without child calls.
+    fn own_time(&self, now: Millis) -> Millis {
         let whole = self.started.map_or(Millis(0), |at| now.since(at));
-        whole.since(self.below)
+        whole.since(self.children_time)
     }
 }
 
-/// The most failed deeper calls remembered for one call; others count as
-/// first attempts.
-const FAILED_MAX: usize = 64;
+/// The maximum number of failed child calls remembered per call; repeats of
+/// others are not recognized as retries.
+const FAILED_CALLS_MAX: usize = 64;
 
-/// The most reports on one answer: a header of some 2 KB.
+/// The maximum number of reports in a trailer, which bounds its size.
 const REPORTS_MAX: usize = 2 * PATH_MAX;
 
 impl Core {
-    /// A peer passes a call on.
+    /// Handles a call that a peer forwarded.
     pub(super) fn hop(
         &mut self,
         now: Millis,
@@ -105,7 +106,7 @@
     ) {
         self.stats.hops += 1;
         if envelope.leg == Leg::Owner {
-            self.own(now, call, envelope, out);
+            self.receive_as_owner(now, call, envelope, out);
             return;
         }
         if let Err(refusal) = self.check_hop(now, &envelope) {
@@ -122,16 +123,17 @@
         self.inbound.insert(call, Inbound::new(envelope, deadline));
         self.timers.insert((deadline, call));
         match verdict {
-            Verdict::Start => self.start(now, call, out),
+            Verdict::Start => self.start_call(now, call, out),
             Verdict::Wait(None) => {}
             Verdict::Wait(Some(evicted)) => {
-                self.turn_away(now, evicted, Kind::Evicted, out)
+                self.reject_queued(now, evicted, Kind::Evicted, out)
             }
-            Verdict::Refuse(kind) => self.turn_away(now, call, kind, out),
+            Verdict::Refuse(kind) => self.reject_queued(now, call, kind, out),
         }
-        self.advance(now, out);
+        self.advance_gate(now, out);
     }
 
+    /// Checks that this node can accept a forwarded call.
     fn check_hop(
         &mut self,
         now: Millis,
@@ -141,35 +143,41 @@
         if other || !self.server.accepts() || self.gate.is_none() {
             return Err(Refusal::new(Kind::Leaving, Ran::No));
         }
-        if self.calls() >= self.config.calls_max {
-            let wait = self.spread(Millis(1_000));
+        if self.call_count() >= self.config.calls_max {
+            let wait = self.jitter(Millis(1_000));
             let full = Refusal::new(Kind::Full, Ran::No);
             return Err(full.retry_after(wait));
         }
-        let former = envelope.target != self.me.incarnation;
-        if former && envelope.ticket.is_some() {
+        let stale = envelope.target != self.me.incarnation;
+        if stale && envelope.ticket.is_some() {
             return Err(Refusal::new(Kind::Unreachable, Ran::No));
         }
         match envelope.ticket {
-            Some(ticket) => self.check_ran(now, &ticket, envelope.send),
+            Some(ticket) => self.check_duplicate(now, &ticket, envelope.send),
             None => Ok(()),
         }
     }
 
-    fn start(&mut self, now: Millis, call: CallId, out: &mut Vec<Action>) {
+    /// Sends a call to the backend server.
+    fn start_call(
+        &mut self,
+        now: Millis,
+        call: CallId,
+        out: &mut Vec<Action>,
+    ) {
         let Some(inbound) = self.inbound.get_mut(&call) else { return };
         inbound.started = Some(now);
         let mut envelope = inbound.envelope.clone();
         envelope.left = inbound.deadline.since(now);
         if let Some(ticket) = &envelope.ticket {
-            self.ran.start(ticket);
+            self.dedup.mark_started(ticket);
         }
         self.stats.started += 1;
         out.push(Action::Start { call, envelope });
     }
 
-    /// Refuses a call that never reached the server.
-    fn turn_away(
+    /// Refuses a call that was not sent to the backend server.
+    fn reject_queued(
         &mut self,
         now: Millis,
         call: CallId,
@@ -180,35 +188,36 @@
         self.timers.remove(&(inbound.deadline, call));
         let level = self.gate.as_ref().map(Gate::level).unwrap_or_default();
         let wait = self.view.distance(level, inbound.envelope.key);
-        let wait = self.spread(wait);
+        let wait = self.jitter(wait);
         let refusal = Refusal::new(kind, Ran::No).retry_after(wait);
         let unspent = inbound.budget.left();
         self.refuse_hop(now, call, refusal, &[], unspent, out);
     }
 
+    /// Refuses a call that a peer forwarded.
     pub(super) fn refuse_hop(
         &mut self,
         now: Millis,
         call: CallId,
         refusal: Refusal,
-        passed: &[Service],
+        downstream: &[Service],
         unspent: u8,
         out: &mut Vec<Action>,
     ) {
-        self.stats.refused(refusal.kind);
-        let mut trailer = self.trailer(now, passed, unspent);
+        self.stats.count_refusal(refusal.kind);
+        let mut trailer = self.trailer(now, downstream, unspent);
         trailer.refusal = Some(refusal.clone());
         let trailer = Some(trailer);
         out.push(Action::Refuse { call, refusal, trailer });
         out.push(Action::Release { call });
     }
 
-    /// What travels back: this server's load and level, and the levels of
-    /// the services below.
+    /// Creates a trailer with the load and level of this node's server and
+    /// the levels of the downstream services.
     fn trailer(
         &self,
         now: Millis,
-        passed: &[Service],
+        downstream: &[Service],
         unspent: u8,
     ) -> Trailer {
         let origin = self.me.node;
@@ -221,12 +230,13 @@
             let level = Some(gate.level());
             reports.push(Report { origin, service, level, age });
         }
-        let below = passed.iter().filter(|s| Some(*s) != self.own_service());
-        for service in below {
+        let others =
+            downstream.iter().filter(|s| Some(*s) != self.own_service());
+        for service in others {
             let known = self.view.reports(now, service);
             if known.is_empty() {
-                // Nothing was heard lately, but the way in must still learn
-                // that the path passes here.
+                // Without a recent level, the entry node must still learn
+                // that the path includes this service.
                 let (service, level) = (service.clone(), None);
                 reports.push(Report { origin, service, level, age });
             }
@@ -247,8 +257,8 @@
         }
     }
 
-    /// The backend server came back with a call.
-    pub(super) fn served(
+    /// Handles the backend server's reply to a call.
+    pub(super) fn inbound_replied(
         &mut self,
         now: Millis,
         call: CallId,
@@ -262,33 +272,35 @@
             Reply::Whole { .. } => End::Answered,
             _ => End::Failed,
         };
-        let Some(inbound) = self.finish(now, call, end, out) else { return };
+        let Some(inbound) = self.finish_inbound(now, call, end, out) else {
+            return;
+        };
         let unspent = inbound.budget.left();
         if let Reply::Whole { .. } = reply {
             self.stats.answered += 1;
-            let trailer = self.trailer(now, &inbound.passed, unspent);
+            let trailer = self.trailer(now, &inbound.downstream, unspent);
             let trailer = Some(trailer);
             out.push(Action::Answer { call, trailer });
         } else {
             let refusal = match reply {
-                // The server refused the connection: nothing was sent.
+                // The connection was refused, so nothing was sent.
                 Reply::Unreachable => {
-                    self.ran.withdraw(&inbound.envelope);
+                    self.dedup.withdraw(&inbound.envelope);
                     Refusal::new(Kind::Unreachable, Ran::No)
                         .retry_after(Millis(500))
                 }
                 _ => Refusal::new(Kind::Broken, Ran::Unknown),
             };
-            let passed = &inbound.passed;
-            self.refuse_hop(now, call, refusal, passed, unspent, out);
+            let downstream = &inbound.downstream;
+            self.refuse_hop(now, call, refusal, downstream, unspent, out);
         }
         out.push(Action::Release { call });
-        self.advance(now, out);
+        self.advance_gate(now, out);
     }
 
-    /// Takes a call out of the table, out of the gate, and cancels what it
-    /// still waited for.
-    fn finish(
+    /// Removes a call from the table and the gate, and cancels its child
+    /// calls.
+    fn finish_inbound(
         &mut self,
         now: Millis,
         call: CallId,
@@ -304,14 +316,14 @@
         let inbound = self.inbound.remove(&call)?;
         self.timers.remove(&(inbound.deadline, call));
         if let Some(gate) = &mut self.gate {
-            gate.finish(now, call, end, inbound.own(now));
+            gate.finish(now, call, end, inbound.own_time(now));
         }
         Some(inbound)
     }
 
-    /// True if a call must not be broken off: it runs at most once and has
-    /// begun. It gets more time, once.
-    fn keep_running(&mut self, now: Millis, call: CallId) -> bool {
+    /// Extends the deadline of a running at-most-once call, which must not be
+    /// aborted. Returns false for other calls and for a second extension.
+    fn try_extend(&mut self, now: Millis, call: CallId) -> bool {
         let span = self.config.ticket_span;
         let Some(inbound) = self.inbound.get_mut(&call) else { return false };
         let begun = inbound.started.is_some();
@@ -332,25 +344,26 @@
         call: CallId,
         out: &mut Vec<Action>,
     ) {
-        if !self.keep_running(now, call) {
+        if !self.try_extend(now, call) {
             let refusal = Refusal::new(Kind::Canceled, Ran::Unknown);
-            self.break_off(now, call, refusal, out);
+            self.abort_inbound(now, call, refusal, out);
         }
     }
 
-    pub(super) fn inbound_late(
+    pub(super) fn inbound_expired(
         &mut self,
         now: Millis,
         call: CallId,
         out: &mut Vec<Action>,
     ) {
-        if !self.keep_running(now, call) {
+        if !self.try_extend(now, call) {
             let refusal = Refusal::new(Kind::Deadline, Ran::Unknown);
-            self.break_off(now, call, refusal, out);
+            self.abort_inbound(now, call, refusal, out);
         }
     }
 
-    fn break_off(
+    /// Ends a queued or running call with a refusal.
+    fn abort_inbound(
         &mut self,
         now: Millis,
         call: CallId,
@@ -366,17 +379,19 @@
         } else {
             out.push(Action::Abort { call });
         }
-        let Some(inbound) = self.finish(now, call, End::Canceled, out) else {
+        let Some(inbound) = self.finish_inbound(now, call, End::Canceled, out)
+        else {
             return;
         };
         let unspent = inbound.budget.left();
-        let passed = &inbound.passed;
-        self.refuse_hop(now, call, refusal, passed, unspent, out);
-        self.advance(now, out);
+        let downstream = &inbound.downstream;
+        self.refuse_hop(now, call, refusal, downstream, unspent, out);
+        self.advance_gate(now, out);
     }
 
-    /// Starts what has room, gives up what has waited too long.
-    pub(super) fn advance(&mut self, now: Millis, out: &mut Vec<Action>) {
+    /// Starts queued calls while there is room, and refuses those that waited
+    /// too long.
+    pub(super) fn advance_gate(&mut self, now: Millis, out: &mut Vec<Action>) {
         let warmth = self.server.warmth(now);
         let Some(gate) = &mut self.gate else { return };
         let mut steps = Vec::new();
@@ -384,9 +399,9 @@
         let shedding = gate.level() < Level::OPEN;
         for step in steps {
             match step {
-                Step::Start(call) => self.start(now, call, out),
+                Step::Start(call) => self.start_call(now, call, out),
                 Step::Refuse(call, kind) => {
-                    self.turn_away(now, call, kind, out)
+                    self.reject_queued(now, call, kind, out)
                 }
             }
         }
@@ -399,7 +414,7 @@
         }
     }
 
-    /// The backend server says what it is.
+    /// Handles an announcement of the backend server.
     pub(super) fn announce(
         &mut self,
         now: Millis,
@@ -416,7 +431,7 @@
             Some(gate) => gate.set_places(places),
             None => {
                 let config = gate::Config::default()
-                    .patience(self.config.patience)
+                    .patience(self.config.queue_timeout)
                     .linger(self.config.linger)
                     .enforce(!self.observes());
                 self.gate = Some(Gate::new(config, places));
@@ -433,7 +448,7 @@
         out.push(Action::Note(Note::Server(state.to_string())));
     }
 
-    /// Tells the peers what the own backend server is.
+    /// Updates this node's membership record with the backend server's offer.
     fn advertise(&mut self, now: Millis) {
         let accepts = self.server.accepts();
         let offer = self.server.announced().map(|a| Advert {
@@ -445,13 +460,9 @@
         members.say(now, Status::Alive, offer);
     }
 
-    /// The backend server says that it is leaving. What is in flight there
-    /// goes on; what waits is told to go elsewhere.
-    pub(super) fn server_leaves(
-        &mut self,
-        now: Millis,
-        out: &mut Vec<Action>,
-    ) {
+    /// Starts to drain the backend server: running calls go on, queued calls
+    /// are refused so that they are retried on another server.
+    pub(super) fn drain_server(&mut self, now: Millis, out: &mut Vec<Action>) {
         if !self.server.leave() {
             return;
         }
@@ -465,18 +476,19 @@
             if let Some(gate) = &mut self.gate {
                 gate.withdraw(call);
             }
-            self.turn_away(now, call, Kind::Leaving, out);
+            self.reject_queued(now, call, Kind::Leaving, out);
         }
-        self.push_news(out);
+        self.push_membership(out);
     }
 
-    /// The node itself is told to stop.
+    /// Starts to drain the node.
     pub(super) fn drain(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.draining = true;
-        self.server_leaves(now, out);
+        self.drain_server(now, out);
     }
 
-    pub(super) fn server_is_gone(&mut self, out: &mut Vec<Action>) {
+    /// Removes the gate once the backend server has drained.
+    pub(super) fn finish_server_drain(&mut self, out: &mut Vec<Action>) {
         let draining = self.server.state() == State::Draining;
         if draining && self.inbound.is_empty() && self.server.idle() {
             self.gate = None;
--- a/crates/walnutmoor-core/src/node/issue.rs
+++ b/crates/walnutmoor-core/src/node/issue.rs
@@ -1,6 +1,6 @@
-//! Issuing tickets, and the stamps of witnesses that go into them.
+//! Issuing of tickets, and the witness timestamps that they carry.
 
-use super::{Action, AskId, Core};
+use super::{Action, Core, QueryId};
 use crate::{
     error::{self, Kind, Refusal},
     gossip::Body,
@@ -8,7 +8,7 @@
     time::Millis,
 };
 
-/// A witness's clock, and when it came.
+/// A timestamp of a witness's clock, and the local time of its arrival.
 #[derive(Clone, Copy, Debug)]
 struct Stamp {
     party: Party,
@@ -16,37 +16,37 @@
     at: Millis,
 }
 
-/// The stamps that witnesses gave, and who waits for one.
+/// The latest witness timestamps, and the queries that wait for one.
 #[derive(Debug, Default)]
 pub(super) struct Stamps {
     known: Vec<Stamp>,
-    pub(super) asks: Vec<(Millis, AskId)>,
+    pub(super) waiting: Vec<(Millis, QueryId)>,
 }
 
-/// How many witnesses are asked for a stamp, and kept.
-const STAMPS: usize = 2;
+/// The number of witnesses whose timestamps are requested and kept.
+const STAMP_WITNESSES: usize = 2;
 
-/// A stamp older than this is still used, and a newer one is fetched.
-const STAMP_STALE: Millis = Millis(5_000);
+/// The age from which a timestamp is refreshed in the background.
+const STAMP_REFRESH_AGE: Millis = Millis(5_000);
 
-/// How long to wait for a stamp.
-const STAMP_WAIT: Millis = Millis(300);
+/// How long a query waits for a timestamp before it is refused.
+const STAMP_TIMEOUT: Millis = Millis(300);
 
-/// The most asks that wait for a stamp.
-const ISSUES_MAX: usize = 1_024;
+/// The maximum number of queries that wait for a timestamp.
+const WAITING_ISSUES_MAX: usize = 1_024;
 
 impl Core {
     /// Issues a ticket that names this node as owner and a node of another
-    /// zone as witness, so that no one zone takes both. If no witness gave a
-    /// stamp lately, the ask waits for one.
+    /// zone as witness, so that the loss of one zone cannot take both. The
+    /// query waits if no recent witness timestamp is known.
     pub(super) fn issue(
         &mut self,
         now: Millis,
-        ask: AskId,
+        query: QueryId,
         out: &mut Vec<Action>,
     ) {
         if let Err(refusal) = self.check_issue() {
-            self.issued(ask, Err(refusal), out);
+            self.issued(query, Err(refusal), out);
             return;
         }
         let alone = self.gossip.members().directory().live() <= 1;
@@ -54,17 +54,17 @@
             true => Some(Stamp { party: self.me, stamp: now, at: now }),
             false => self.usable_stamp(now),
         };
-        if stamp.is_none_or(|s| now.since(s.at) > STAMP_STALE) {
+        if stamp.is_none_or(|s| now.since(s.at) > STAMP_REFRESH_AGE) {
             self.fetch_stamps(out);
         }
         match stamp {
-            Some(stamp) => self.issue_with(now, ask, stamp, out),
-            None if self.stamps.asks.len() >= ISSUES_MAX => {
+            Some(stamp) => self.issue_with(now, query, stamp, out),
+            None if self.stamps.waiting.len() >= WAITING_ISSUES_MAX => {
                 let full = Refusal::new(Kind::Full, error::Ran::No);
                 let full = full.retry_after(Millis(500));
-                self.issued(ask, Err(full), out);
+                self.issued(query, Err(full), out);
             }
-            None => self.stamps.asks.push((now + STAMP_WAIT, ask)),
+            None => self.stamps.waiting.push((now + STAMP_TIMEOUT, query)),
         }
     }
 
@@ -74,56 +74,56 @@
             (false, false) => Kind::Starting,
             (false, true) => return Ok(()),
         };
-        let wait = self.spread(Millis(500));
+        let wait = self.jitter(Millis(500));
         Err(Refusal::new(kind, error::Ran::No).retry_after(wait))
     }
 
     fn issue_with(
         &mut self,
         now: Millis,
-        ask: AskId,
+        query: QueryId,
         stamp: Stamp,
         out: &mut Vec<Action>,
     ) {
         let span = self.config.ticket_span;
         let (witness, stamp) = (stamp.party, stamp.stamp);
         let result = self.ledger.issue(now, witness, stamp, span);
-        self.issued(ask, result, out);
+        self.issued(query, result, out);
     }
 
     fn issued(
         &mut self,
-        ask: AskId,
+        query: QueryId,
         result: Result<Ticket, Refusal>,
         out: &mut Vec<Action>,
     ) {
         match &result {
             Ok(_) => self.stats.tickets += 1,
-            Err(refusal) => self.stats.refused(refusal.kind),
+            Err(refusal) => self.stats.count_refusal(refusal.kind),
         }
-        out.push(Action::Issued { ask, result });
+        out.push(Action::Issued { query, result });
     }
 
-    /// The freshest stamp of a witness that is alive.
+    /// The latest unexpired timestamp of a live witness.
     fn usable_stamp(&self, now: Millis) -> Option<Stamp> {
         let known = self.stamps.known.iter();
         let fresh = known.filter(|s| now.since(s.at) <= STAMP_MAX);
-        let alive = fresh.filter(|s| self.is_living(s.party));
+        let alive = fresh.filter(|s| self.is_alive(s.party));
         alive.max_by_key(|s| s.at).copied()
     }
 
     fn fetch_stamps(&mut self, out: &mut Vec<Action>) {
-        for _ in 0..STAMPS {
+        for _ in 0..STAMP_WITNESSES {
             let members = self.gossip.members();
             let far = members.abroad(&mut self.rng);
             let node = far.or_else(|| members.any(&mut self.rng));
             let Some(node) = node else { return };
-            self.post(node, Body::Stamp, out);
+            self.send_packet(node, Body::Stamp, out);
         }
     }
 
-    /// A witness told its clock.
-    pub(super) fn stamped(
+    /// Stores a witness's timestamp and answers the waiting queries.
+    pub(super) fn stamp_received(
         &mut self,
         now: Millis,
         party: Party,
@@ -134,27 +134,27 @@
         let known = &mut self.stamps.known;
         known.retain(|s| s.party.node != party.node);
         known.insert(0, fresh);
-        known.truncate(STAMPS);
-        for (_, ask) in std::mem::take(&mut self.stamps.asks) {
-            self.issue_with(now, ask, fresh, out);
+        known.truncate(STAMP_WITNESSES);
+        for (_, query) in std::mem::take(&mut self.stamps.waiting) {
+            self.issue_with(now, query, fresh, out);
         }
     }
 
-    /// Refuses those who waited too long for a stamp.
+    /// Refuses the queries that waited too long for a timestamp.
     pub(super) fn expire_issues(
         &mut self,
         now: Millis,
         out: &mut Vec<Action>,
     ) {
-        let late = |(until, _): &(Millis, AskId)| *until <= now;
-        let asks = std::mem::take(&mut self.stamps.asks);
-        let (gone, rest) = asks.into_iter().partition(late);
-        self.stamps.asks = rest;
-        let gone: Vec<(Millis, AskId)> = gone;
-        for (_, ask) in gone {
-            let wait = self.spread(Millis(500));
+        let late = |(until, _): &(Millis, QueryId)| *until <= now;
+        let queries = std::mem::take(&mut self.stamps.waiting);
+        let (gone, rest) = queries.into_iter().partition(late);
+        self.stamps.waiting = rest;
+        let gone: Vec<(Millis, QueryId)> = gone;
+        for (_, query) in gone {
+            let wait = self.jitter(Millis(500));
             let silent = Refusal::new(Kind::WitnessSilent, error::Ran::No);
-            self.issued(ask, Err(silent.retry_after(wait)), out);
+            self.issued(query, Err(silent.retry_after(wait)), out);
         }
     }
 }
--- a/crates/walnutmoor-core/src/node/mod.rs
+++ b/crates/walnutmoor-core/src/node/mod.rs
@@ -1,11 +1,11 @@
 /*!
-The whole node: every part of this crate composed behind one function.
+The node state machine, which composes the other modules of this crate.
 
-[`Node::handle`] takes an event and the time and appends actions. The driver
-carries bodies, connections and clocks; the node knows calls by number only.
-A node begins as [`Starting`], in which it refuses calls because it has heard
-no configuration; it becomes [`Serving`], and in the end [`Draining`], each by
-consuming the stage before.
+[`Node::handle`] takes an event and the current time and appends actions. The
+driver handles message bodies, connections and clocks; the node identifies
+calls by [`CallId`] only. A node begins as [`Starting`], in which it refuses
+calls because no configuration is in force. It then becomes [`Serving`] and
+finally [`Draining`]; each transition consumes the previous stage.
 
 # Example
 
@@ -44,7 +44,7 @@
 use std::{collections::BTreeSet, marker::PhantomData};
 
 pub use self::{
-    event::{Action, AskId, Event, Note, OpId},
+    event::{Action, Event, Note, OpId, QueryId},
     options::{Config, Mode},
     stats::{Stats, Status},
 };
@@ -71,18 +71,18 @@
     rand_core::{Rng, SeedableRng},
 };
 
-/// A life stage of a node.
+/// A stage of a node's life cycle.
 pub trait Stage: sealed::Sealed {}
 
-/// No configuration was heard yet.
+/// No configuration is in force yet; calls are refused.
 #[derive(Debug)]
 pub struct Starting;
 
-/// Calls are taken.
+/// Calls are accepted.
 #[derive(Debug)]
 pub struct Serving;
 
-/// No new work is taken; what is in flight is finished.
+/// New requests are refused; calls in flight are finished.
 #[derive(Debug)]
 pub struct Draining;
 
@@ -97,7 +97,7 @@
 impl Stage for Serving {}
 impl Stage for Draining {}
 
-/// A node in one stage of its life.
+/// A node in one stage of its life cycle.
 #[derive(Debug)]
 pub struct Node<S: Stage> {
     core: Box<Core>,
@@ -105,16 +105,16 @@
 }
 
 impl Node<Starting> {
-    /// A node that has heard nothing.
+    /// Creates a node that has not contacted the platform or a peer yet.
     pub fn new(config: Config, now: Millis) -> Node<Starting> {
         Node { core: Box::new(Core::new(config, now)), stage: PhantomData }
     }
 
-    /// Begins to serve, if a configuration is in force.
+    /// Starts to serve, if a configuration is in force.
     ///
     /// # Errors
     ///
-    /// The node as it was, if none is.
+    /// Returns the node unchanged if no configuration is in force.
     pub fn try_serve(self) -> Result<Node<Serving>, Node<Starting>> {
         if !self.core.in_force {
             return Err(self);
@@ -124,7 +124,7 @@
 }
 
 impl Node<Serving> {
-    /// Takes no more work, and says so.
+    /// Starts to drain: refuses new requests and tells the peers.
     pub fn drain(
         mut self,
         now: Millis,
@@ -136,19 +136,19 @@
 }
 
 impl Node<Draining> {
-    /// True once nothing is in flight.
+    /// Returns true once no call is in flight.
     pub fn is_idle(&self) -> bool {
         self.core.outbound.is_empty() && self.core.inbound.is_empty()
     }
 
-    /// Says good-bye.
+    /// Tells the peers that this node has left the cluster.
     pub fn leave(mut self, now: Millis, out: &mut Vec<Action>) {
-        self.core.say_left(now, out);
+        self.core.announce_left(now, out);
     }
 }
 
 impl<S: Stage> Node<S> {
-    /// Takes an event and appends what is to be done.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(
         &mut self,
         now: Millis,
@@ -158,40 +158,40 @@
         self.core.handle(now, event, out);
     }
 
-    /// When an [`Event::Tick`] is due, at the latest.
+    /// The time by which the driver must send an [`Event::Tick`].
     pub fn next_wake(&self) -> Millis {
         self.core.next_wake()
     }
 
-    /// Counters since the start.
+    /// The counters since the start of the node.
     pub fn stats(&self) -> &Stats {
         &self.core.stats
     }
 
-    /// What operators see of the node.
+    /// A snapshot of the node's state, for operators.
     pub fn status(&self, now: Millis) -> Status {
         self.core.status(now)
     }
 
-    /// The configuration that this node trusts.
+    /// The latest configuration that this node has adopted.
     pub fn configuration(&self) -> &config::Config {
         &self.core.configuration
     }
 
-    /// The records of all nodes.
+    /// The membership records of all known nodes.
     pub fn directory(&self) -> &directory::Directory {
         self.core.gossip.members().directory()
     }
 }
 
-/// All state of a node.
+/// The state of a node, which all stages share.
 #[derive(Debug)]
 struct Core {
     config: Config,
     me: Party,
     rng: ChaCha8Rng,
     stats: Stats,
-    // Calls.
+    // Calls and admission.
     outbound: Map<CallId, outbound::Outbound>,
     inbound: Map<CallId, inbound::Inbound>,
     timers: BTreeSet<(Millis, CallId)>,
@@ -202,21 +202,21 @@
     gate: Option<Gate>,
     shedding: bool,
     draining: bool,
-    // At most once.
+    // At-most-once calls.
     ledger: Ledger,
     witness: Table,
-    marks: Map<Nonce, tickets::Marking>,
-    asks: Map<CallId, tickets::Asking>,
-    inspections: Map<AskId, tickets::Inspecting>,
-    ran: tickets::Ran,
+    pending_marks: Map<Nonce, tickets::PendingMark>,
+    witness_queries: Map<CallId, tickets::WitnessQuery>,
+    inspections: Map<QueryId, tickets::Inspection>,
+    dedup: tickets::Dedup,
     stamps: issue::Stamps,
-    // Agreement.
+    // Membership and configuration.
     gossip: Gossip,
     configuration: config::Config,
     table: config::Table,
     in_force: bool,
-    heard_zones: BTreeSet<Zone>,
-    proposer: Proposer<AskId>,
+    confirmed_zones: BTreeSet<Zone>,
+    proposer: Proposer<QueryId>,
     control: control::Control,
 }
 
@@ -250,16 +250,16 @@
             draining: false,
             ledger: Ledger::new(me, secret, config.tickets_max),
             witness: Table::new(me, config.marks_max),
-            marks: Map::default(),
-            asks: Map::default(),
+            pending_marks: Map::default(),
+            witness_queries: Map::default(),
             inspections: Map::default(),
-            ran: tickets::Ran::new(config.tickets_max),
+            dedup: tickets::Dedup::new(config.tickets_max),
             stamps: issue::Stamps::default(),
             gossip: Gossip::new(record, now),
             configuration: config::Config::default(),
             table: config::Table::default(),
             in_force: false,
-            heard_zones: BTreeSet::new(),
+            confirmed_zones: BTreeSet::new(),
             proposer: Proposer::new(PROPOSALS_MAX),
             control: control::Control::new(),
             config,
@@ -278,26 +278,26 @@
                 self.hop(now, call, envelope, out)
             }
             Event::Replied { call, reply } => {
-                self.replied(now, call, reply, out)
+                self.call_replied(now, call, reply, out)
             }
             Event::Cancel { call } => self.cancel(now, call, out),
-            Event::Issue { ask } => self.issue(now, ask, out),
-            Event::Inspect { ask, ticket } => {
-                self.inspect(now, ask, ticket, out)
+            Event::Issue { query } => self.issue(now, query, out),
+            Event::Inspect { query, ticket } => {
+                self.inspect(now, query, ticket, out)
             }
             Event::Announce(what) => self.announce(now, what, out),
-            Event::Leave => self.server_leaves(now, out),
-            Event::Packet(packet) => self.packet(now, *packet, out),
+            Event::Leave => self.drain_server(now, out),
+            Event::Packet(packet) => self.packet_received(now, *packet, out),
             Event::Platform { op, reply } => {
-                self.platform(now, op, reply, out)
+                self.platform_replied(now, op, reply, out)
             }
-            Event::Propose { ask, author, op, base } => {
-                self.propose(now, ask, author, op, base, out)
+            Event::Propose { query, author, op, base } => {
+                self.propose(now, query, author, op, base, out)
             }
         }
     }
 
-    fn replied(
+    fn call_replied(
         &mut self,
         now: Millis,
         call: CallId,
@@ -305,9 +305,9 @@
         out: &mut Vec<Action>,
     ) {
         if self.outbound.contains_key(&call) {
-            self.returned(now, call, reply, out);
+            self.outbound_replied(now, call, reply, out);
         } else if self.inbound.contains_key(&call) {
-            self.served(now, call, reply, out);
+            self.inbound_replied(now, call, reply, out);
         }
     }
 
@@ -321,7 +321,7 @@
 
     fn tick(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.expire_calls(now, out);
-        self.advance(now, out);
+        self.advance_gate(now, out);
         self.tick_tickets(now, out);
         self.tick_control(now, out);
     }
@@ -333,9 +333,9 @@
             }
             self.timers.pop_first();
             if self.outbound.contains_key(&call) {
-                self.outbound_late(now, call, out);
+                self.outbound_expired(now, call, out);
             } else if self.inbound.contains_key(&call) {
-                self.inbound_late(now, call, out);
+                self.inbound_expired(now, call, out);
             }
         }
     }
@@ -349,7 +349,7 @@
         all.into_iter().flatten().fold(Millis::NEVER, Millis::min)
     }
 
-    fn calls(&self) -> usize {
+    fn call_count(&self) -> usize {
         self.outbound.len() + self.inbound.len()
     }
 
@@ -359,13 +359,13 @@
         refusal: Refusal,
         out: &mut Vec<Action>,
     ) {
-        self.stats.refused(refusal.kind);
+        self.stats.count_refusal(refusal.kind);
         out.push(Action::Refuse { call, refusal, trailer: None });
     }
 
-    /// The span, spread by half either way, so that those who are told to
-    /// come back do not come back together.
-    fn spread(&mut self, span: Millis) -> Millis {
+    /// Returns a random time from 50% to 150% of `span`, which keeps clients
+    /// from retrying in sync.
+    fn jitter(&mut self, span: Millis) -> Millis {
         let half = span.0 / 2;
         let draw = self.rng.next_u64() % (span.0.max(1));
         Millis(half + draw)
@@ -376,5 +376,5 @@
     }
 }
 
-/// The most changes of configuration under way at one node.
+/// The maximum number of pending configuration proposals.
 const PROPOSALS_MAX: usize = 1_024;
--- a/crates/walnutmoor-core/src/node/options.rs
+++ b/crates/walnutmoor-core/src/node/options.rs
@@ -1,4 +1,4 @@
-//! How a node behaves.
+//! The configuration of a node.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,20 +7,20 @@
     time::Millis,
 };
 
-/// Whether the node refuses for load, or only measures and counts.
+/// Whether overload decisions are enforced or only counted.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Mode {
-    /// It refuses what does not fit.
+    /// Refuses calls that exceed capacity.
     #[default]
     Enforce,
-    /// It decides and counts, and refuses nothing for load.
+    /// Decides and counts, but refuses no call for overload.
     Observe,
 }
 
-/// How a node behaves. Only the address is required.
+/// The configuration of a node. Only the address is required.
 #[derive(Clone, Debug)]
 pub struct Config {
     pub(super) node: NodeId,
@@ -34,8 +34,8 @@
     pub(super) marks_max: usize,
     pub(super) deadline_max: Millis,
     pub(super) ticket_span: Millis,
-    pub(super) answer_max: usize,
-    pub(super) patience: Millis,
+    pub(super) answer_max_bytes: usize,
+    pub(super) queue_timeout: Millis,
     pub(super) linger: Millis,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl Config {
-    /// The settings of a node that peers reach at this address.
+    /// The default configuration of a node that peers reach at this address.
     pub fn new(node: NodeId) -> Config {
         Config {
             node,
@@ -64,8 +64,8 @@
             marks_max: 65_536,
             deadline_max: Millis(30_000),
             ticket_span: Millis(60_000),
-            answer_max: 64 * 1024,
-            patience: Millis(200),
+            answer_max_bytes: 64 * 1024,
+            queue_timeout: Millis(200),
             linger: Millis(20),
         }
     }
@@ -73,32 +73,36 @@
     setters! {
         /// The availability zone. Default: `default`.
         zone: Zone,
-        /// The seed of all randomness; a live node draws it anew at each
-        /// start, for the incarnation comes from it. Default: 0.
+        /// The seed of all randomness, including the incarnation: it must
+        /// differ at each start of a live node. Default: 0.
         seed: u64,
-        /// The version of the node's first word about itself; a live node
-        /// takes the wall clock, so that a restart outranks the life before
-        /// it. Default: 1.
+        /// The version of the node's first membership record. It must grow
+        /// with each restart, as the wall clock does, so that the record
+        /// supersedes the one of the previous incarnation. Default: 1.
         version: u64,
-        /// Whether to refuse for load. Default: enforce.
+        /// Whether overload decisions are enforced. Default: enforce.
         mode: Mode,
-        /// The retries of one whole request. Default: 3.
+        /// The retry budget of one whole request. Default: 3.
         retries: u8,
-        /// The most calls in the node at a time. Default: 16,384.
+        /// The maximum number of calls in flight. Default: 16,384.
         calls_max: usize,
-        /// The most tickets remembered as owner. Default: 16,384.
+        /// The maximum number of tickets kept as owner. Default: 16,384.
         tickets_max: usize,
-        /// The most marks and tombstones kept as witness. Default: 65,536.
+        /// The maximum number of marks and tombstones kept as witness.
+        /// Default: 65,536.
         marks_max: usize,
-        /// The longest time that a caller may ask for. Default: 30 s.
+        /// The longest timeout that a caller may request. Default: 30 s.
         deadline_max: Millis,
-        /// How long a ticket is honoured. Default: 60 s, which is the most.
+        /// How long a ticket is valid. Default: 60 s, which is the maximum.
         ticket_span: Millis,
-        /// The longest answer kept for repeats, in bytes. Default: 64 KB.
-        answer_max: usize,
-        /// How long a call waits in the queue at most. Default: 200 ms.
-        patience: Millis,
-        /// How long a canceled call still counts. Default: 20 ms.
+        /// The largest answer cached for repeated calls, in bytes.
+        /// Default: 64 KB.
+        answer_max_bytes: usize,
+        /// The longest time that a call waits in the queue.
+        /// Default: 200 ms.
+        queue_timeout: Millis,
+        /// How long a canceled call still counts as in flight.
+        /// Default: 20 ms.
         linger: Millis,
     }
 }
--- a/crates/walnutmoor-core/src/node/outbound.rs
+++ b/crates/walnutmoor-core/src/node/outbound.rs
@@ -1,4 +1,4 @@
-//! Calls on their way out: admission and routing.
+//! Outbound calls: admission, routing and forwarding to peers.
 
 use super::{Action, Core};
 use crate::{
@@ -14,30 +14,30 @@
     time::Millis,
 };
 
-/// Where an outbound call is.
+/// The phase of an outbound call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Stage {
-    /// Its owner, this node, waits for the witness's mark.
-    Marking,
-    /// It was sent to a peer.
+pub(super) enum Phase {
+    /// This node owns the ticket and waits for the witness's mark.
+    AwaitingMark,
+    /// The call was sent to a peer.
     Sent,
-    /// Its owner is silent; the witness was asked.
-    Asking,
+    /// The ticket's owner does not respond; the witness was asked.
+    AwaitingVerdict,
 }
 
-/// A call that this node sends on.
+/// A call that this node sends to a peer.
 #[derive(Debug)]
 pub(super) struct Outbound {
     pub(super) envelope: Envelope,
     pub(super) deadline: Millis,
-    pub(super) stage: Stage,
+    pub(super) phase: Phase,
     pub(super) parent: Option<CallId>,
     pub(super) to: Option<NodeId>,
-    // What is kept here; the envelope names what was handed to the peer.
+    // The retries kept here; the envelope holds those given to the peer.
     pub(super) budget: Budget,
     pub(super) tried: Vec<NodeId>,
-    pub(super) moved: bool,
-    pub(super) late: bool,
+    pub(super) free_retry_used: bool,
+    pub(super) deadline_passed: bool,
 }
 
 impl Outbound {
@@ -50,30 +50,31 @@
             budget: envelope.budget,
             envelope,
             deadline,
-            stage: Stage::Marking,
+            phase: Phase::AwaitingMark,
             parent,
             to: None,
             tried: Vec::new(),
-            moved: false,
-            late: false,
+            free_retry_used: false,
+            deadline_passed: false,
         }
     }
 
-    /// True if this node runs the call as the owner of its ticket.
-    pub(super) fn owned(&self) -> Option<Ticket> {
+    /// The call's ticket, if this node sends the call as the ticket's owner.
+    pub(super) fn owned_ticket(&self) -> Option<Ticket> {
         let server = self.envelope.leg == Leg::Server;
         self.envelope.ticket.filter(|_| server)
     }
 }
 
-/// The most servers tried for one call.
-pub(super) const TRIES_MAX: usize = 4;
+/// The maximum number of attempts for one call.
+pub(super) const ATTEMPTS_MAX: usize = 4;
 
-/// A peer is told a little less time than is left, so that its answer comes
-/// before this node gives up: one way between zones, rounded up.
-pub(super) const MARGIN: Millis = Millis(5);
+/// Subtracted from the time left that a peer is given, so that its answer
+/// arrives before the deadline of this node.
+pub(super) const DEADLINE_MARGIN: Millis = Millis(5);
 
 impl Core {
+    /// Handles a call from a caller or from this node's backend server.
     pub(super) fn arrive(
         &mut self,
         now: Millis,
@@ -83,7 +84,7 @@
         self.stats.arrived += 1;
         let (call, ticket) = (arrival.call, arrival.ticket);
         if let Err(refusal) = self.try_arrive(now, arrival, out) {
-            let refusal = self.honest(now, ticket, refusal);
+            let refusal = self.reconcile_ran(now, ticket, refusal);
             self.refuse(call, refusal, out);
             out.push(Action::Release { call });
         }
@@ -97,8 +98,8 @@
     ) -> Result<(), Refusal> {
         self.check_ready(&arrival)?;
         let (envelope, deadline) = match arrival.parent {
-            Some(parent) => self.deeper(now, parent, &arrival)?,
-            None => self.root(now, &arrival)?,
+            Some(parent) => self.child_call(now, parent, &arrival)?,
+            None => self.root_call(now, &arrival)?,
         };
         match envelope.ticket {
             Some(ticket) => self
@@ -107,16 +108,16 @@
                 self.admit(now, &arrival, &envelope)?;
                 let call = arrival.call;
                 let new = Outbound::new(envelope, deadline, arrival.parent);
-                self.begin(now, call, new);
-                self.send(now, call, out);
+                self.insert_outbound(now, call, new);
+                self.dispatch(now, call, out);
                 Ok(())
             }
         }
     }
 
-    /// A refusal of this attempt says nothing of attempts before it: with a
-    /// ticket, *not run* is only said if the ledger says so too.
-    pub(super) fn honest(
+    /// Replaces a claim that the call did not run by the ledger's state of
+    /// the ticket, since an earlier attempt may have run it.
+    pub(super) fn reconcile_ran(
         &self,
         now: Millis,
         ticket: Option<Ticket>,
@@ -135,31 +136,32 @@
         refusal
     }
 
+    /// Checks that this node is serving and has room for another call.
     pub(super) fn check_ready(
         &mut self,
         arrival: &Arrival,
     ) -> Result<(), Refusal> {
         if !self.in_force {
-            let wait = self.spread(Millis(1_000));
+            let wait = self.jitter(Millis(1_000));
             let starting = Refusal::new(Kind::Starting, Ran::No);
             return Err(starting.retry_after(wait));
         }
         if self.draining && arrival.parent.is_none() {
-            let wait = self.spread(Millis(200));
+            let wait = self.jitter(Millis(200));
             let leaving = Refusal::new(Kind::Leaving, Ran::No);
             return Err(leaving.retry_after(wait));
         }
-        if self.calls() >= self.config.calls_max {
-            let wait = self.spread(Millis(1_000));
+        if self.call_count() >= self.config.calls_max {
+            let wait = self.jitter(Millis(1_000));
             let full = Refusal::new(Kind::Full, Ran::No);
             return Err(full.retry_after(wait));
         }
         Ok(())
     }
 
-    /// A call that begins a whole request. What it leaves out gets the
-    /// least: the lowest class, no time beyond the class's, no rank.
-    fn root(
+    /// Creates the envelope of a call that begins a request. A missing class
+    /// defaults to the internal one, a missing timeout to the class's target.
+    fn root_call(
         &mut self,
         now: Millis,
         arrival: &Arrival,
@@ -172,13 +174,13 @@
         if class.kind == class::Kind::Once && arrival.ticket.is_none() {
             return Err(Refusal::new(Kind::TicketRequired, Ran::No));
         }
-        let tries = u32::from(self.config.retries) + 1;
-        if arrival.attempt > tries && !self.observes() {
+        let attempts = u32::from(self.config.retries) + 1;
+        if arrival.attempt > attempts && !self.observes() {
             return Err(Refusal::new(Kind::Budget, Ran::No));
         }
         let left = arrival.left.unwrap_or(class.target.within);
         let left = left.min(self.config.deadline_max);
-        if left <= MARGIN {
+        if left <= DEADLINE_MARGIN {
             return Err(Refusal::new(Kind::Deadline, Ran::No));
         }
         let request = arrival.request.clone();
@@ -211,9 +213,9 @@
         text.parse().expect("hexadecimal is a legal id")
     }
 
-    /// A call that the backend server makes for one that it runs. It
-    /// inherits all: the class, the key, the time and the retries left.
-    fn deeper(
+    /// Creates the envelope of a call that the backend server makes for one
+    /// that it runs. It inherits class, key, deadline and retry budget.
+    fn child_call(
         &mut self,
         now: Millis,
         parent: CallId,
@@ -221,24 +223,26 @@
     ) -> Result<(Envelope, Millis), Refusal> {
         let gone = Refusal::new(Kind::Canceled, Ran::No);
         let from = self.own_service().cloned();
-        let above = self.inbound.get_mut(&parent).ok_or(gone)?;
-        let deadline = above.deadline;
+        let parent_call = self.inbound.get_mut(&parent).ok_or(gone)?;
+        let deadline = parent_call.deadline;
         let left = deadline.since(now);
-        if left <= MARGIN || above.envelope.depth + 1 >= DEPTH_MAX {
+        if left <= DEADLINE_MARGIN
+            || parent_call.envelope.depth + 1 >= DEPTH_MAX
+        {
             return Err(Refusal::new(Kind::Deadline, Ran::No));
         }
         let enforce = self.config.mode == super::Mode::Enforce;
-        if above.failed.contains(&arrival.fingerprint) {
+        if parent_call.failed.contains(&arrival.fingerprint) {
             let to = &arrival.service;
-            let fits = above.budget.spend()
+            let fits = parent_call.budget.spend()
                 && self.share.try_retry(from.as_ref(), to);
             if !fits && enforce {
                 return Err(Refusal::new(Kind::Budget, Ran::No));
             }
             self.stats.retried += 1;
         }
-        let budget = above.budget.split();
-        let ticket = match (arrival.step, above.envelope.ticket) {
+        let budget = parent_call.budget.split();
+        let ticket = match (arrival.step, parent_call.envelope.ticket) {
             (Some(step), Some(t)) => {
                 Some(self.ledger.open_step(now, t.nonce, step)?)
             }
@@ -251,14 +255,15 @@
             left,
             budget,
             ticket,
-            depth: above.envelope.depth + 1,
+            depth: parent_call.envelope.depth + 1,
             fingerprint: arrival.fingerprint,
-            ..above.envelope.clone()
+            ..parent_call.envelope.clone()
         };
         Ok((envelope, deadline))
     }
 
-    /// Admission, decided once for the whole request at its way in.
+    /// Applies admission control. It is decided once per request, at the node
+    /// where the request enters; child calls always pass.
     pub(super) fn admit(
         &mut self,
         now: Millis,
@@ -279,44 +284,51 @@
             return Ok(());
         }
         let wait = self.view.distance(level, envelope.key);
-        let wait = self.spread(wait);
+        let wait = self.jitter(wait);
         let refusal = Refusal::new(Kind::Overloaded, Ran::No);
         Err(refusal.retry_after(wait))
     }
 
-    /// Takes a call into the table of outbound calls.
-    pub(super) fn begin(&mut self, now: Millis, call: CallId, new: Outbound) {
+    /// Adds a call to the table of outbound calls.
+    pub(super) fn insert_outbound(
+        &mut self,
+        now: Millis,
+        call: CallId,
+        new: Outbound,
+    ) {
         self.timers.insert((new.deadline, call));
-        if let Some(above) = new.parent.and_then(|p| self.inbound.get_mut(&p))
+        if let Some(parent_call) =
+            new.parent.and_then(|p| self.inbound.get_mut(&p))
         {
-            above.child_begins(now, call);
+            parent_call.child_started(now, call);
         }
         self.outbound.insert(call, new);
     }
 
-    /// Sends an outbound call to a server that it chooses.
-    pub(super) fn send(
+    /// Picks a server for an outbound call and forwards the call to it.
+    pub(super) fn dispatch(
         &mut self,
         now: Millis,
         call: CallId,
         out: &mut Vec<Action>,
     ) {
-        let Some(o) = self.outbound.get(&call) else { return };
-        let service = o.envelope.service.clone();
+        let Some(outbound) = self.outbound.get(&call) else { return };
+        let service = outbound.envelope.service.clone();
         let directory = self.gossip.members().directory();
         let servers = directory.servers(&service);
         let to = servers.and_then(|servers| {
-            self.router.pick(now, servers, &o.tried, &mut self.rng)
+            self.router.pick(now, servers, &outbound.tried, &mut self.rng)
         });
         let Some(to) = to else {
-            let refusal = self.nowhere(&service, out);
-            self.give_up(now, call, refusal, out);
+            let refusal = self.no_server(&service, out);
+            self.fail_outbound(now, call, refusal, out);
             return;
         };
         self.forward(now, call, to, out);
     }
 
-    fn nowhere(
+    /// The refusal of a call for whose service no server is available.
+    fn no_server(
         &mut self,
         service: &Service,
         out: &mut Vec<Action>,
@@ -324,7 +336,7 @@
         let directory = self.gossip.members().directory();
         let known = directory.servers(service).is_some();
         if known {
-            let wait = self.spread(Millis(500));
+            let wait = self.jitter(Millis(500));
             let refusal = Refusal::new(Kind::Unreachable, Ran::No);
             return refusal.retry_after(wait);
         }
@@ -332,12 +344,13 @@
             return Refusal::new(Kind::UnknownService, Ran::No);
         }
         if let Some(peer) = self.gossip.members().any(&mut self.rng) {
-            self.post(peer, Body::Lookup(service.clone()), out);
+            self.send_packet(peer, Body::Lookup(service.clone()), out);
         }
-        let wait = self.spread(Millis(500));
+        let wait = self.jitter(Millis(500));
         Refusal::new(Kind::Starting, Ran::No).retry_after(wait)
     }
 
+    /// Sends an outbound call to a peer.
     pub(super) fn forward(
         &mut self,
         now: Millis,
@@ -345,23 +358,26 @@
         to: NodeId,
         out: &mut Vec<Action>,
     ) {
-        let Some(o) = self.outbound.get_mut(&call) else { return };
-        let first = o.tried.is_empty();
-        o.tried.push(to);
-        o.to = Some(to);
-        o.stage = Stage::Sent;
-        let left = o.deadline.since(now);
-        o.envelope.left = left.since(MARGIN);
-        // Part stays here: what a peer was given is lost if it breaks off.
-        o.envelope.budget = o.budget.split();
-        if let Some(ticket) = o.owned() {
-            o.envelope.send = self.ledger.sent(ticket.nonce);
+        let Some(outbound) = self.outbound.get_mut(&call) else { return };
+        let first = outbound.tried.is_empty();
+        outbound.tried.push(to);
+        outbound.to = Some(to);
+        outbound.phase = Phase::Sent;
+        let left = outbound.deadline.since(now);
+        outbound.envelope.left = left.since(DEADLINE_MARGIN);
+        // Part of the budget stays here: the peer's part is lost if the
+        // connection breaks.
+        outbound.envelope.budget = outbound.budget.split();
+        if let Some(ticket) = outbound.owned_ticket() {
+            outbound.envelope.send = self.ledger.sent(ticket.nonce);
         }
         let directory = self.gossip.members().directory();
         let record = directory.get(to);
-        o.envelope.target = record.map(|r| r.incarnation).unwrap_or_default();
-        o.envelope.applied = self.view.level(now, &o.envelope.service);
-        let envelope = o.envelope.clone();
+        outbound.envelope.target =
+            record.map(|r| r.incarnation).unwrap_or_default();
+        outbound.envelope.applied =
+            self.view.level(now, &outbound.envelope.service);
+        let envelope = outbound.envelope.clone();
         if first {
             let from = envelope.from.as_ref();
             self.share.first(from, &envelope.service);
@@ -372,5 +388,5 @@
     }
 }
 
-/// Failed calls of one parent, by fingerprint.
-pub(super) type Failed = Set<u64>;
+/// The fingerprints of the failed child calls of one call.
+pub(super) type FailedCalls = Set<u64>;
--- a/crates/walnutmoor-core/src/node/stats.rs
+++ b/crates/walnutmoor-core/src/node/stats.rs
@@ -1,4 +1,4 @@
-//! What a node counts, and what it shows of itself.
+//! Counters and status of a node.
 
 use serde::Serialize;
 
@@ -17,23 +17,23 @@
 pub struct Stats {
     /// Refusals by kind, in the order of [`Kind::ALL`].
     pub refusals: Vec<u64>,
-    /// Calls that came from callers or the own backend server.
+    /// Calls received from callers or from this node's backend server.
     pub arrived: u64,
-    /// Calls that a way in admitted.
+    /// Calls that passed admission control at this node.
     pub admitted: u64,
-    /// Calls that would have been refused for load, were it enforced.
+    /// Calls over the admission level that were let through in observe mode.
     pub observed: u64,
-    /// Calls that came from peers.
+    /// Calls received from peers.
     pub hops: u64,
-    /// Calls started at the own backend server.
+    /// Calls sent to this node's backend server.
     pub started: u64,
-    /// Whole answers of the own backend server.
+    /// Complete answers of this node's backend server.
     pub answered: u64,
-    /// Calls sent to a peer.
+    /// Calls forwarded to a peer.
     pub forwarded: u64,
-    /// Calls sent again, against the request's budget.
+    /// Retries that were charged to a retry budget.
     pub retried: u64,
-    /// Calls sent elsewhere for free, proved not run.
+    /// Free retries: calls that did not run, sent to another server.
     pub moved: u64,
     /// Tickets issued.
     pub tickets: u64,
@@ -43,64 +43,65 @@
     pub tombstones: u64,
     /// Packets received.
     pub packets: u64,
-    /// Changes of configuration that came into force here.
+    /// Configuration changes that came into force at this node.
     pub changes: u64,
-    /// Older configurations that were offered and not adopted.
+    /// Older configurations that the store held and that were rejected.
     pub reverts_refused: u64,
-    /// Calls to the platform.
+    /// Requests to the platform.
     pub platform_calls: u64,
 }
 
 impl Stats {
-    pub(super) fn refused(&mut self, kind: Kind) {
+    pub(super) fn count_refusal(&mut self, kind: Kind) {
         if self.refusals.is_empty() {
             self.refusals = vec![0; Kind::ALL.len()];
         }
         self.refusals[kind as usize] += 1;
     }
 
-    /// Refusals of one kind.
+    /// The number of refusals of one kind.
     pub fn refusals_of(&self, kind: Kind) -> u64 {
         self.refusals.get(kind as usize).copied().unwrap_or(0)
     }
 }
 
-/// What operators see of a node.
+/// The state of a node, as shown to operators.
 #[derive(Clone, Debug, Serialize)]
 pub struct Status {
-    /// The node.
+    /// The address that peers reach the node at.
     pub node: NodeId,
-    /// Its zone.
+    /// The availability zone of the node.
     pub zone: String,
     /// `starting`, `serving` or `draining`.
     pub stage: &'static str,
     /// `enforce` or `observe`.
     pub mode: super::Mode,
-    /// The configuration in force.
+    /// The revision of the configuration in force.
     pub revision: Revision,
-    /// The backend server's state.
+    /// The state of the backend server.
     pub server: &'static str,
-    /// What the backend server said of itself.
+    /// The last announcement of the backend server.
     pub announced: Option<Announcement>,
-    /// The admission level in front of it.
+    /// The admission level of the backend server.
     pub level: String,
-    /// What each class meets that enters at this node.
+    /// The strictest admission level on the path of each class and entry
+    /// service.
     pub ways: Vec<Way>,
-    /// Calls that run there.
+    /// Calls running on the backend server.
     pub running: usize,
-    /// Calls that wait.
+    /// Calls waiting in the queue.
     pub queued: usize,
-    /// Calls that may run.
+    /// The concurrency limit of the backend server.
     pub allowed: u32,
-    /// Calls under way as way in or out.
+    /// Calls in flight that this node sends or relays to peers.
     pub outbound: usize,
-    /// Tickets remembered as owner.
+    /// Tickets kept as owner.
     pub tickets: usize,
     /// Marks and tombstones kept as witness.
     pub marks: usize,
-    /// Live nodes known.
+    /// Live nodes in the directory.
     pub members: usize,
-    /// True once the directory has agreed with a peer's.
+    /// True once the directory has matched that of a peer.
     pub complete: bool,
 }
 
--- a/crates/walnutmoor-core/src/node/tickets.rs
+++ b/crates/walnutmoor-core/src/node/tickets.rs
@@ -1,10 +1,11 @@
-//! At most once: marks, silent owners, and what servers have run.
+//! At-most-once calls: witness marks, unresponsive owners and deduplication
+//! of deliveries.
 
 use std::collections::BTreeSet;
 
 use super::{
-    Action, AskId, Core,
-    outbound::{Outbound, Stage},
+    Action, Core, QueryId,
+    outbound::{Outbound, Phase},
 };
 use crate::{
     call::{Arrival, Envelope, Leg},
@@ -18,84 +19,84 @@
     witness::Verdict,
 };
 
-/// How long to wait before a mark or a question is sent again: a few round
+/// How long to wait for an answer before a packet is sent again: a few round
 /// trips between zones.
-const AGAIN: Millis = Millis(40);
+const RESEND_INTERVAL: Millis = Millis(40);
 
-/// How often a mark or a question is sent before the other counts as silent.
+/// How often a packet is sent before its receiver counts as unresponsive.
 const SENDS_MAX: u32 = 8;
 
-/// A mark that the owner waits for.
+/// An owner's request for a mark, not yet answered by the witness.
 #[derive(Debug)]
-pub(super) struct Marking {
+pub(super) struct PendingMark {
     ticket: Ticket,
     call: CallId,
-    next: Millis,
+    next_send: Millis,
     sends: u32,
 }
 
-/// A question to a witness about a silent owner.
+/// A query to a witness about an unresponsive owner.
 #[derive(Debug)]
-pub(super) struct Asking {
+pub(super) struct WitnessQuery {
     ticket: Ticket,
-    next: Millis,
+    next_send: Millis,
     sends: u32,
 }
 
-/// A question about a ticket, from a caller.
+/// A caller's query for the outcome of a ticket.
 #[derive(Debug)]
-pub(super) struct Inspecting {
+pub(super) struct Inspection {
     ticket: Ticket,
-    next: Millis,
+    next_send: Millis,
     sends: u32,
-    of_witness: bool,
+    asks_witness: bool,
 }
 
-/// The tickets whose calls came to this node's backend server: the last
-/// guard against a call that arrives twice.
+/// Deduplicates the calls with tickets that are sent to this node's backend
+/// server.
 #[derive(Debug)]
-pub(super) struct Ran {
+pub(super) struct Dedup {
     capacity: usize,
-    seen: Map<Id, Seen>,
-    expiry: BTreeSet<(Millis, Id)>,
+    deliveries: Map<TicketId, Delivery>,
+    expiry: BTreeSet<(Millis, TicketId)>,
 }
 
-/// What came of one ticket here.
+/// The last delivery of a ticket's call to this node.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct Delivery {
     send: u32,
     started: bool,
 }
 
-type Id = (NodeId, Incarnation, Nonce);
+type TicketId = (NodeId, Incarnation, Nonce);
 
-fn id(ticket: &Ticket) -> Id {
+fn ticket_id(ticket: &Ticket) -> TicketId {
     (ticket.owner.node, ticket.owner.incarnation, ticket.nonce)
 }
 
-impl Ran {
-    pub(super) fn new(capacity: usize) -> Ran {
-        Ran { capacity, seen: Map::default(), expiry: BTreeSet::new() }
+impl Dedup {
+    pub(super) fn new(capacity: usize) -> Dedup {
+        Dedup { capacity, deliveries: Map::default(), expiry: BTreeSet::new() }
     }
 
     fn accept(&mut self, now: Millis, ticket: &Ticket, send: u32) {
-        let id = id(ticket);
-        let seen = self.seen.entry(id).or_default();
-        seen.send = send;
+        let id = ticket_id(ticket);
+        let delivery = self.deliveries.entry(id).or_default();
+        delivery.send = send;
         self.expiry.insert((now + SPAN_MAX + SPAN_MAX, id));
     }
 
-    /// The call goes to the backend server.
-    pub(super) fn start(&mut self, ticket: &Ticket) {
-        self.seen.entry(id(ticket)).or_default().started = true;
+    /// Records that the call is sent to the backend server.
+    pub(super) fn mark_started(&mut self, ticket: &Ticket) {
+        self.deliveries.entry(ticket_id(ticket)).or_default().started = true;
     }
 
-    /// The call never reached the backend server after all.
+    /// Records that the call did not reach the backend server.
     pub(super) fn withdraw(&mut self, envelope: &Envelope) {
         if let Some(ticket) = &envelope.ticket
-            && let Some(seen) = self.seen.get_mut(&id(ticket))
+            && let Some(delivery) = self.deliveries.get_mut(&ticket_id(ticket))
         {
-            seen.started = false;
+            delivery.started = false;
         }
     }
 
@@ -105,13 +106,15 @@
                 return;
             }
             self.expiry.pop_first();
-            self.seen.remove(&id);
+            self.deliveries.remove(&id);
         }
     }
 }
 
 impl Core {
-    /// A call with a ticket came to this way in.
+    /// Handles a call with a ticket: joins it to the one in flight, replays
+    /// the cached answer, or starts the call. Relays it if another node owns
+    /// the ticket.
     pub(super) fn arrive_once(
         &mut self,
         now: Millis,
@@ -142,15 +145,15 @@
                 }
                 let parent = arrival.parent;
                 let new = Outbound::new(envelope, deadline, parent);
-                self.begin(now, call, new);
-                self.mark(now, call, ticket, out);
+                self.insert_outbound(now, call, new);
+                self.request_mark(now, call, ticket, out);
             }
         }
         Ok(())
     }
 
-    /// A peer passes on a call with a ticket of this node.
-    pub(super) fn own(
+    /// Handles a call that a peer relayed to the owner of its ticket.
+    pub(super) fn receive_as_owner(
         &mut self,
         now: Millis,
         call: CallId,
@@ -173,8 +176,8 @@
         let Some(ticket) = envelope.ticket else { return };
         let envelope = Envelope { leg: Leg::Server, ..envelope };
         let result = if ticket.owner != self.me {
-            // Another life of this node. It knows nothing of the ticket;
-            // the witness does.
+            // An earlier incarnation of this node issued the ticket; only
+            // the witness knows its state.
             let ran = error::Ran::Unknown;
             Err(Refusal::new(Kind::OwnerSilent, ran))
         } else {
@@ -185,11 +188,12 @@
             })
         };
         if let Err(refusal) = result {
-            let refusal = self.honest(now, Some(ticket), refusal);
+            let refusal = self.reconcile_ran(now, Some(ticket), refusal);
             self.refuse_hop(now, call, refusal, &[], 0, out);
         }
     }
 
+    /// Sends a call to the owner of its ticket.
     fn relay(
         &mut self,
         now: Millis,
@@ -201,23 +205,23 @@
     ) {
         let envelope = Envelope { leg: Leg::Owner, ..envelope };
         let new = Outbound::new(envelope, deadline, None);
-        self.begin(now, call, new);
-        if self.is_living(ticket.owner) {
+        self.insert_outbound(now, call, new);
+        if self.is_alive(ticket.owner) {
             self.forward(now, call, ticket.owner.node, out);
         } else {
             self.ask_witness(now, call, out);
         }
     }
 
-    pub(super) fn is_living(&self, party: Party) -> bool {
+    pub(super) fn is_alive(&self, party: Party) -> bool {
         let directory = self.gossip.members().directory();
         let record = directory.get(party.node);
         record
             .is_some_and(|r| r.is_live() && r.incarnation == party.incarnation)
     }
 
-    /// Gets the witness's mark before a call runs.
-    fn mark(
+    /// Requests the witness's mark, without which a call must not run.
+    fn request_mark(
         &mut self,
         now: Millis,
         call: CallId,
@@ -225,19 +229,19 @@
         out: &mut Vec<Action>,
     ) {
         if ticket.witness == self.me {
-            // Steps under a parent, and nodes that are alone.
+            // A step of a parent call, or a cluster of one node.
             let verdict = self.witness.mark(now, &ticket);
-            self.marked(now, ticket, verdict, out);
+            self.mark_received(now, ticket, verdict, out);
             return;
         }
-        let next = now + AGAIN;
-        let marking = Marking { ticket, call, next, sends: 1 };
-        self.marks.insert(ticket.nonce, marking);
-        self.post(ticket.witness.node, Body::Mark(ticket), out);
+        let next_send = now + RESEND_INTERVAL;
+        let pending = PendingMark { ticket, call, next_send, sends: 1 };
+        self.pending_marks.insert(ticket.nonce, pending);
+        self.send_packet(ticket.witness.node, Body::Mark(ticket), out);
     }
 
-    /// The witness answered an owner.
-    pub(super) fn marked(
+    /// Handles the witness's answer to a mark request.
+    pub(super) fn mark_received(
         &mut self,
         now: Millis,
         ticket: Ticket,
@@ -247,8 +251,8 @@
         if ticket.owner != self.me {
             return;
         }
-        let call = match self.marks.remove(&ticket.nonce) {
-            Some(marking) => marking.call,
+        let call = match self.pending_marks.remove(&ticket.nonce) {
+            Some(pending) => pending.call,
             None if ticket.witness == self.me => {
                 let waiters = self.ledger.waiters(ticket.nonce);
                 let Some(first) = waiters.first() else { return };
@@ -258,13 +262,13 @@
         };
         match verdict {
             Verdict::Mark if self.ledger.marked(now, ticket.nonce) => {
-                self.send(now, call, out);
+                self.dispatch(now, call, out);
             }
             Verdict::Mark => {
                 self.refuse_marking(now, call, Kind::TicketExpired, out)
             }
             Verdict::Tombstone => {
-                self.end(now, call, false);
+                self.remove_outbound(now, call, false);
                 out.push(Action::Release { call });
                 let waiters = self.ledger.tombstoned(ticket.nonce);
                 for waiter in waiters {
@@ -286,34 +290,38 @@
         kind: Kind,
         out: &mut Vec<Action>,
     ) {
-        let wait = self.spread(Millis(500));
+        let wait = self.jitter(Millis(500));
         let refusal = Refusal::new(kind, error::Ran::No).retry_after(wait);
-        self.give_up(now, call, refusal, out);
+        self.fail_outbound(now, call, refusal, out);
     }
 
-    /// The owner of a relayed call is silent: the witness settles it.
+    /// Asks the witness about a relayed call whose owner does not respond.
     pub(super) fn ask_witness(
         &mut self,
         now: Millis,
         call: CallId,
         out: &mut Vec<Action>,
     ) {
-        let Some(o) = self.outbound.get_mut(&call) else { return };
-        let Some(ticket) = o.envelope.ticket else { return };
-        o.stage = Stage::Asking;
-        o.to = None;
-        let asking = Asking { ticket, next: now + AGAIN, sends: 1 };
-        self.asks.insert(call, asking);
+        let Some(outbound) = self.outbound.get_mut(&call) else { return };
+        let Some(ticket) = outbound.envelope.ticket else { return };
+        outbound.phase = Phase::AwaitingVerdict;
+        outbound.to = None;
+        let pending = WitnessQuery {
+            ticket,
+            next_send: now + RESEND_INTERVAL,
+            sends: 1,
+        };
+        self.witness_queries.insert(call, pending);
         if ticket.witness == self.me {
             let verdict = self.witness.ask(now, &ticket);
-            self.told(now, ticket, verdict, out);
+            self.verdict_received(now, ticket, verdict, out);
             return;
         }
-        self.post(ticket.witness.node, Body::Ask(ticket), out);
+        self.send_packet(ticket.witness.node, Body::Ask(ticket), out);
     }
 
-    /// A witness answered about a silent owner.
-    pub(super) fn told(
+    /// Handles a witness's answer about an unresponsive owner.
+    pub(super) fn verdict_received(
         &mut self,
         now: Millis,
         ticket: Ticket,
@@ -325,28 +333,31 @@
             _ => error::Ran::Unknown,
         };
         let refusal = Refusal::new(Kind::OwnerSilent, ran);
-        let asks = self.asks.iter().filter(|(_, a)| a.ticket == ticket);
-        let mut calls: Vec<CallId> = asks.map(|(call, _)| *call).collect();
+        let queries =
+            self.witness_queries.iter().filter(|(_, a)| a.ticket == ticket);
+        let mut calls: Vec<CallId> = queries.map(|(call, _)| *call).collect();
         calls.sort();
         for call in calls {
-            self.give_up(now, call, refusal.clone(), out);
+            self.fail_outbound(now, call, refusal.clone(), out);
         }
-        let asks = self.inspections.iter();
-        let asks = asks.filter(|(_, i)| i.ticket == ticket && i.of_witness);
-        let mut asks: Vec<AskId> = asks.map(|(ask, _)| *ask).collect();
-        asks.sort();
-        for ask in asks {
-            self.inspections.remove(&ask);
+        let queries = self.inspections.iter();
+        let queries =
+            queries.filter(|(_, i)| i.ticket == ticket && i.asks_witness);
+        let mut queries: Vec<QueryId> =
+            queries.map(|(query, _)| *query).collect();
+        queries.sort();
+        for query in queries {
+            self.inspections.remove(&query);
             let result = Ok(Outcome { ran, open: false });
-            out.push(Action::Inspected { ask, result });
+            out.push(Action::Inspected { query, result });
         }
     }
 
-    /// A caller wants to know what became of a ticket.
+    /// Handles a caller's query for the outcome of a ticket.
     pub(super) fn inspect(
         &mut self,
         now: Millis,
-        ask: AskId,
+        query: QueryId,
         ticket: Ticket,
         out: &mut Vec<Action>,
     ) {
@@ -354,61 +365,63 @@
             let outcome = self.ledger.outcome(now, ticket.nonce);
             let gone = Refusal::new(Kind::TicketExpired, error::Ran::Unknown);
             let result = outcome.ok_or(gone);
-            out.push(Action::Inspected { ask, result });
+            out.push(Action::Inspected { query, result });
             return;
         }
         if self.inspections.len() >= self.config.calls_max {
             let full = Refusal::new(Kind::Full, error::Ran::Unknown);
             let result = Err(full.retry_after(Millis(1_000)));
-            out.push(Action::Inspected { ask, result });
+            out.push(Action::Inspected { query, result });
             return;
         }
-        let of_witness = !self.is_living(ticket.owner);
-        let next = now + AGAIN;
-        let new = Inspecting { ticket, next, sends: 1, of_witness };
-        self.inspections.insert(ask, new);
-        self.post_inspection(now, ticket, of_witness, out);
+        let asks_witness = !self.is_alive(ticket.owner);
+        let next_send = now + RESEND_INTERVAL;
+        let new = Inspection { ticket, next_send, sends: 1, asks_witness };
+        self.inspections.insert(query, new);
+        self.send_inspection(now, ticket, asks_witness, out);
     }
 
-    fn post_inspection(
+    fn send_inspection(
         &mut self,
         now: Millis,
         ticket: Ticket,
-        of_witness: bool,
+        asks_witness: bool,
         out: &mut Vec<Action>,
     ) {
-        if !of_witness {
+        if !asks_witness {
             let body = Body::Inspect(ticket);
-            self.post(ticket.owner.node, body, out);
+            self.send_packet(ticket.owner.node, body, out);
         } else if ticket.witness == self.me {
             let verdict = self.witness.ask(now, &ticket);
-            self.told(now, ticket, verdict, out);
+            self.verdict_received(now, ticket, verdict, out);
         } else {
-            self.post(ticket.witness.node, Body::Ask(ticket), out);
+            self.send_packet(ticket.witness.node, Body::Ask(ticket), out);
         }
     }
 
-    /// An owner said what became of a ticket.
-    pub(super) fn outcome(
+    /// Handles an owner's answer to an inspection.
+    pub(super) fn outcome_received(
         &mut self,
         ticket: Ticket,
         outcome: Option<Outcome>,
         out: &mut Vec<Action>,
     ) {
-        let asks = self.inspections.iter();
-        let asks = asks.filter(|(_, i)| i.ticket == ticket && !i.of_witness);
-        let mut asks: Vec<AskId> = asks.map(|(ask, _)| *ask).collect();
-        asks.sort();
+        let queries = self.inspections.iter();
+        let queries =
+            queries.filter(|(_, i)| i.ticket == ticket && !i.asks_witness);
+        let mut queries: Vec<QueryId> =
+            queries.map(|(query, _)| *query).collect();
+        queries.sort();
         let gone = Refusal::new(Kind::TicketExpired, error::Ran::Unknown);
-        for ask in asks {
-            self.inspections.remove(&ask);
+        for query in queries {
+            self.inspections.remove(&query);
             let result = outcome.ok_or(gone.clone());
-            out.push(Action::Inspected { ask, result });
+            out.push(Action::Inspected { query, result });
         }
     }
 
-    /// Answers a question that came as a packet.
-    pub(super) fn answer_about(
+    /// Answers a peer's query.
+    pub(super) fn answer_peer(
         &mut self,
         now: Millis,
         from: NodeId,
@@ -435,107 +448,117 @@
             }
             _ => return,
         };
-        self.post(from, answer, out);
+        self.send_packet(from, answer, out);
     }
 
-    /// Refuses a call that was run here before, or came here before: of the
-    /// same send, it is a double.
-    pub(super) fn check_ran(
+    /// Refuses a call that was started here before, or whose send number was
+    /// already delivered: the network duplicated it.
+    pub(super) fn check_duplicate(
         &mut self,
         now: Millis,
         ticket: &Ticket,
         send: u32,
     ) -> Result<(), Refusal> {
-        self.ran.expire(now);
-        let seen = self.ran.seen.get(&id(ticket)).copied();
-        if seen.is_some_and(|s| s.started || send <= s.send) {
+        self.dedup.expire(now);
+        let delivery = self.dedup.deliveries.get(&ticket_id(ticket)).copied();
+        if delivery.is_some_and(|s| s.started || send <= s.send) {
             return Err(Refusal::new(Kind::Broken, error::Ran::Unknown));
         }
-        if seen.is_none() && self.ran.seen.len() >= self.ran.capacity {
+        if delivery.is_none()
+            && self.dedup.deliveries.len() >= self.dedup.capacity
+        {
             let full = Refusal::new(Kind::Full, error::Ran::No);
             return Err(full.retry_after(Millis(1_000)));
         }
-        self.ran.accept(now, ticket, send);
+        self.dedup.accept(now, ticket, send);
         Ok(())
     }
 
     pub(super) fn next_ticket_wake(&self) -> Option<Millis> {
-        let marks = self.marks.values().map(|m| m.next);
-        let asks = self.asks.values().map(|a| a.next);
-        let others = self.inspections.values().map(|i| i.next);
-        let issues = self.stamps.asks.iter().map(|(until, _)| *until);
-        marks.chain(asks).chain(others).chain(issues).min()
+        let marks = self.pending_marks.values().map(|m| m.next_send);
+        let queries = self.witness_queries.values().map(|a| a.next_send);
+        let others = self.inspections.values().map(|i| i.next_send);
+        let issues = self.stamps.waiting.iter().map(|(until, _)| *until);
+        marks.chain(queries).chain(others).chain(issues).min()
     }
 
-    /// Sends again what was not answered, and gives up on the silent.
+    /// Expires tickets and queries, and resends unanswered packets.
     pub(super) fn tick_tickets(&mut self, now: Millis, out: &mut Vec<Action>) {
         while let Some(nonce) = self.ledger.expire(now) {
-            out.push(Action::Forget { nonce });
+            out.push(Action::EvictAnswer { nonce });
         }
         self.expire_issues(now, out);
-        self.mark_again(now, out);
-        self.ask_again(now, out);
-        self.inspect_again(now, out);
+        self.resend_marks(now, out);
+        self.resend_witness_queries(now, out);
+        self.resend_inspections(now, out);
     }
 
-    fn mark_again(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let due = self.marks.iter().filter(|(_, m)| m.next <= now);
+    fn resend_marks(&mut self, now: Millis, out: &mut Vec<Action>) {
+        let due =
+            self.pending_marks.iter().filter(|(_, m)| m.next_send <= now);
         let mut due: Vec<Nonce> = due.map(|(nonce, _)| *nonce).collect();
         due.sort();
         for nonce in due {
-            let Some(m) = self.marks.get_mut(&nonce) else { continue };
-            let (call, ticket) = (m.call, m.ticket);
-            m.sends += 1;
-            m.next = now + AGAIN;
-            if m.sends > SENDS_MAX {
+            let Some(pending) = self.pending_marks.get_mut(&nonce) else {
+                continue;
+            };
+            let (call, ticket) = (pending.call, pending.ticket);
+            pending.sends += 1;
+            pending.next_send = now + RESEND_INTERVAL;
+            if pending.sends > SENDS_MAX {
                 self.refuse_marking(now, call, Kind::WitnessSilent, out);
             } else {
-                self.post(ticket.witness.node, Body::Mark(ticket), out);
+                self.send_packet(ticket.witness.node, Body::Mark(ticket), out);
             }
         }
     }
 
-    fn ask_again(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let due = self.asks.iter().filter(|(_, a)| a.next <= now);
+    fn resend_witness_queries(&mut self, now: Millis, out: &mut Vec<Action>) {
+        let due =
+            self.witness_queries.iter().filter(|(_, a)| a.next_send <= now);
         let mut due: Vec<CallId> = due.map(|(call, _)| *call).collect();
         due.sort();
         for call in due {
-            let Some(a) = self.asks.get_mut(&call) else { continue };
-            let ticket = a.ticket;
-            a.sends += 1;
-            a.next = now + AGAIN;
-            if a.sends > SENDS_MAX {
+            let Some(pending) = self.witness_queries.get_mut(&call) else {
+                continue;
+            };
+            let ticket = pending.ticket;
+            pending.sends += 1;
+            pending.next_send = now + RESEND_INTERVAL;
+            if pending.sends > SENDS_MAX {
                 let ran = error::Ran::Unknown;
                 let refusal = Refusal::new(Kind::WitnessSilent, ran);
-                self.give_up(now, call, refusal, out);
+                self.fail_outbound(now, call, refusal, out);
             } else {
-                self.post(ticket.witness.node, Body::Ask(ticket), out);
+                self.send_packet(ticket.witness.node, Body::Ask(ticket), out);
             }
         }
     }
 
-    fn inspect_again(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let due = self.inspections.iter().filter(|(_, i)| i.next <= now);
-        let mut due: Vec<AskId> = due.map(|(ask, _)| *ask).collect();
+    fn resend_inspections(&mut self, now: Millis, out: &mut Vec<Action>) {
+        let due = self.inspections.iter().filter(|(_, i)| i.next_send <= now);
+        let mut due: Vec<QueryId> = due.map(|(query, _)| *query).collect();
         due.sort();
-        for ask in due {
-            let Some(i) = self.inspections.get_mut(&ask) else { continue };
-            let ticket = i.ticket;
-            i.sends += 1;
-            i.next = now + AGAIN;
-            if i.sends > SENDS_MAX && !i.of_witness {
-                i.of_witness = true;
-                i.sends = 1;
-            } else if i.sends > SENDS_MAX {
-                self.inspections.remove(&ask);
+        for query in due {
+            let Some(inspection) = self.inspections.get_mut(&query) else {
+                continue;
+            };
+            let ticket = inspection.ticket;
+            inspection.sends += 1;
+            inspection.next_send = now + RESEND_INTERVAL;
+            if inspection.sends > SENDS_MAX && !inspection.asks_witness {
+                inspection.asks_witness = true;
+                inspection.sends = 1;
+            } else if inspection.sends > SENDS_MAX {
+                self.inspections.remove(&query);
                 let ran = error::Ran::Unknown;
                 let refusal = Refusal::new(Kind::WitnessSilent, ran);
                 let result = Err(refusal);
-                out.push(Action::Inspected { ask, result });
+                out.push(Action::Inspected { query, result });
                 continue;
             }
-            let of_witness = i.of_witness;
-            self.post_inspection(now, ticket, of_witness, out);
+            let asks_witness = inspection.asks_witness;
+            self.send_inspection(now, ticket, asks_witness, out);
         }
     }
 }
--- a/crates/walnutmoor-core/tests/cluster.rs
+++ b/crates/walnutmoor-core/tests/cluster.rs
@@ -1,5 +1,7 @@
-//! Several nodes under kills, pauses, cuts, outages and races, driven by
-//! `proptest-state-machine` against an oracle that counts what really ran.
+//! State machine test of a cluster under crashes, pauses, partitions, platform
+//! outages and concurrent changes. Guards against calls that run twice,
+//! refusals that deny a run, configuration that reverts or is lost, and
+//! clusters that do not converge.
 
 mod net;
 
@@ -8,34 +10,34 @@
     ReferenceStateMachine, StateMachineTest, prop_state_machine,
 };
 use walnutmoor_core::{
-    id::Revision, node::AskId, ticket::Ticket, time::Millis,
+    id::Revision, node::QueryId, ticket::Ticket, time::Millis,
 };
 
 use self::net::{Fault, Net, set};
 
 const NODES: usize = 4;
 
-/// What may happen.
+/// A transition of the state machine.
 #[derive(Clone, Debug)]
 enum Step {
     Issue(usize),
-    /// A caller calls at a node with one of the tickets issued so far.
-    Use(usize, usize),
+    /// Calls a node with one of the tickets issued so far.
+    Call(usize, usize),
     Browse(usize),
-    Change(usize, u64),
+    Propose(usize, u64),
     Kill(usize),
     Start(usize),
     Pause(usize),
-    Wake(usize),
-    Cut(usize, usize),
-    Lossy,
+    Resume(usize),
+    Block(usize, usize),
+    DegradeNetwork,
     Platform(Fault),
     Heal,
     Advance(u64),
 }
 
-/// The reference knows only how much was done; the oracle inside the net
-/// knows what ran and who was told what.
+/// The reference state: only a seed and a count of proposals. The invariants
+/// are checked by [`Net`].
 #[derive(Clone, Debug)]
 struct Model {
     seed: u64,
@@ -51,15 +53,17 @@
     ];
     prop_oneof![
         4 => node.clone().prop_map(Step::Issue),
-        8 => (node.clone(), any::<usize>()).prop_map(|(n, t)| Step::Use(n, t)),
+        8 => (node.clone(), any::<usize>())
+            .prop_map(|(n, t)| Step::Call(n, t)),
         1 => node.clone().prop_map(Step::Browse),
-        2 => (node.clone(), 1..9_999u64).prop_map(|(n, w)| Step::Change(n, w)),
+        2 => (node.clone(), 1..9_999u64)
+            .prop_map(|(n, w)| Step::Propose(n, w)),
         1 => node.clone().prop_map(Step::Kill),
         2 => node.clone().prop_map(Step::Start),
         2 => node.clone().prop_map(Step::Pause),
-        3 => node.clone().prop_map(Step::Wake),
-        1 => (node.clone(), node).prop_map(|(a, b)| Step::Cut(a, b)),
-        1 => Just(Step::Lossy),
+        3 => node.clone().prop_map(Step::Resume),
+        1 => (node.clone(), node).prop_map(|(a, b)| Step::Block(a, b)),
+        1 => Just(Step::DegradeNetwork),
         1 => fault.prop_map(Step::Platform),
         1 => Just(Step::Heal),
         6 => prop_oneof![1..50u64, 50..1_000u64, 1_000..9_000u64]
@@ -80,15 +84,15 @@
     }
 
     fn apply(mut state: Model, step: &Step) -> Model {
-        state.changes += u64::from(matches!(step, Step::Change(..)));
+        state.changes += u64::from(matches!(step, Step::Propose(..)));
         state
     }
 }
 
 struct Cluster {
     net: Net,
-    asked: Vec<(usize, AskId)>,
-    proposed: Vec<(usize, AskId, String)>,
+    issued: Vec<(usize, QueryId)>,
+    proposed: Vec<(usize, QueryId, String)>,
 }
 
 impl StateMachineTest for Cluster {
@@ -98,85 +102,84 @@
     fn init_test(model: &Model) -> Cluster {
         let mut net = Net::new(NODES, model.seed);
         net.advance(Millis(8_000));
-        Cluster { net, asked: Vec::new(), proposed: Vec::new() }
+        Cluster { net, issued: Vec::new(), proposed: Vec::new() }
     }
 
-    fn apply(mut this: Cluster, model: &Model, step: Step) -> Cluster {
-        let net = &mut this.net;
+    fn apply(mut cluster: Cluster, model: &Model, step: Step) -> Cluster {
+        let net = &mut cluster.net;
         match step {
             Step::Issue(node) => {
-                let ask = net.issue(node);
-                this.asked.push((node, ask));
+                let query = net.issue(node);
+                cluster.issued.push((node, query));
             }
-            Step::Use(node, which) => {
-                let issued = this.asked.iter().filter_map(|ask| {
-                    net.issued.get(ask)?.as_ref().ok().copied()
+            Step::Call(node, which) => {
+                let results = cluster.issued.iter().filter_map(|query| {
+                    net.issued.get(query)?.as_ref().ok().copied()
                 });
-                let tickets: Vec<Ticket> = issued.collect();
+                let tickets: Vec<Ticket> = results.collect();
                 if !tickets.is_empty() {
                     let ticket = tickets[which % tickets.len()];
                     net.call(node, Some(ticket));
                 }
             }
             Step::Browse(node) => drop(net.call(node, None)),
-            Step::Change(node, within) => {
+            Step::Propose(node, within) => {
                 let change = format!("c{}", model.changes);
-                let ask = net.propose(node, &change, set("raced", within));
-                this.proposed.push((node, ask, change));
+                let query = net.propose(node, &change, set("raced", within));
+                cluster.proposed.push((node, query, change));
             }
             Step::Kill(node) => net.kill(node),
             Step::Start(node) => net.start(node),
             Step::Pause(node) => net.pause(node),
-            Step::Wake(node) => net.wake(node),
-            Step::Cut(a, b) => net.cut(a, b),
-            Step::Lossy => (net.loss, net.double) = (0.2, 0.2),
+            Step::Resume(node) => net.resume(node),
+            Step::Block(a, b) => net.block(a, b),
+            Step::DegradeNetwork => (net.loss, net.duplication) = (0.2, 0.2),
             Step::Platform(fault) => net.fault = fault,
             Step::Heal => net.heal(),
             Step::Advance(span) => net.advance(Millis(span)),
         }
-        this
+        cluster
     }
 
-    fn check_invariants(this: &Cluster, _: &Model) {
-        this.net.assert_sound();
+    fn check_invariants(cluster: &Cluster, _: &Model) {
+        cluster.net.assert_no_violations();
     }
 
-    /// After all faults end, everything settles: every caller has its
-    /// answer, every node the newest configuration and the whole directory.
-    fn teardown(mut this: Cluster, _: Model) {
-        let net = &mut this.net;
+    /// After all faults end, the nodes converge: each has the stored
+    /// configuration and the whole directory, and no accepted change is lost.
+    fn teardown(mut cluster: Cluster, _: Model) {
+        let net = &mut cluster.net;
         net.heal();
         (0..NODES).for_each(|node| net.start(node));
         net.advance(Millis(90_000));
-        net.assert_sound();
+        net.assert_no_violations();
         let stored = net.stored();
         for node in 0..NODES {
             assert_eq!(net.revision(node), Some(stored.revision));
-            assert_eq!(net.gossip_len(node), NODES);
+            assert_eq!(net.live_nodes(node), NODES);
         }
-        for (node, ask, change) in &this.proposed {
-            let Some(Ok(revision)) = net.decided.get(&(*node, *ask)) else {
+        for (node, query, change) in &cluster.proposed {
+            let Some(Ok(revision)) = net.decided.get(&(*node, *query)) else {
                 continue;
             };
             let found = stored.find(&change.parse().unwrap());
             let found = found.map(|entry| entry.revision);
-            let old = *revision < first(&stored);
-            assert!(old || found == Some(*revision), "{change} is lost");
+            let compacted = *revision < first_revision(&stored);
+            assert!(compacted || found == Some(*revision), "{change} is lost");
         }
     }
 }
 
-fn first(config: &walnutmoor_core::config::Config) -> Revision {
+fn first_revision(config: &walnutmoor_core::config::Config) -> Revision {
     config.journal.first().map_or(Revision(0), |e| e.revision)
 }
 
-/// Cases and steps; a longer run is asked for with `WALNUTMOOR_FUZZ=N`,
-/// which multiplies the cases.
+/// The test configuration. `WALNUTMOOR_FUZZ=N` multiplies the cases by N.
 fn runner() -> Runner {
-    let times = std::env::var("WALNUTMOOR_FUZZ").ok();
-    let times: u32 = times.and_then(|t| t.parse().ok()).unwrap_or(1);
+    let factor = std::env::var("WALNUTMOOR_FUZZ").ok();
+    let factor: u32 = factor.and_then(|t| t.parse().ok()).unwrap_or(1);
     Runner {
-        cases: 24 * times,
+        cases: 24 * factor,
         rng_seed: proptest::test_runner::RngSeed::Fixed(20_261_202),
         failure_persistence: None,
         max_shrink_iters: 400,
@@ -188,5 +191,5 @@
     #![proptest_config(runner())]
 
     #[test]
-    fn nothing_promised_is_broken(sequential 1..160 => Cluster);
+    fn invariants_hold_under_faults(sequential 1..160 => Cluster);
 }
--- a/crates/walnutmoor-core/tests/net/act.rs
+++ b/crates/walnutmoor-core/tests/net/act.rs
@@ -1,58 +1,58 @@
-//! What the nodes of a [`Net`] do to the world around them: packets, calls and
-//! their ends, and the platform's answers.
+//! Carries out the actions of the simulated nodes: packets, calls and platform
+//! requests.
 
 use super::*;
 
 impl Net {
-    pub(super) fn act(&mut self, index: usize, action: Action) {
+    pub(super) fn perform(&mut self, index: usize, action: Action) {
         match action {
             Action::Send { to, packet } => self.packet(index, to, packet),
             Action::Forward { call, to, envelope } => {
                 self.forward(index, call, to, envelope)
             }
             Action::Start { call, envelope } => {
-                self.run(index, call, &envelope)
+                self.start_call(index, call, &envelope)
             }
             Action::Answer { call, .. } | Action::Replay { call, .. } => {
-                self.ends(index, call, Told::Answer(200))
+                self.finish_call(index, call, Outcome::Answered(200))
             }
             Action::Refuse { call, refusal, .. } => {
-                self.ends(index, call, Told::Refused(refusal))
+                self.finish_call(index, call, Outcome::Refused(refusal))
             }
             Action::Platform { op, request } => {
                 self.platform(index, op, request)
             }
-            Action::Issued { ask, result } => {
-                self.issued.insert((index, ask), result);
+            Action::Issued { query, result } => {
+                self.issued.insert((index, query), result);
             }
-            Action::Decided { ask, result } => {
-                self.decided.insert((index, ask), result);
+            Action::Decided { query, result } => {
+                self.decided.insert((index, query), result);
             }
             _ => {}
         }
     }
 
     fn index(&self, node: NodeId) -> Option<usize> {
-        (0..self.sites.len()).find(|i| node_id(*i) == node)
+        (0..self.hosts.len()).find(|i| node_id(*i) == node)
     }
 
     fn packet(&mut self, from: usize, to: NodeId, packet: Box<Packet>) {
         let Some(to) = self.index(to) else { return };
-        // What travels must survive its encoding.
+        // The encoding must round-trip.
         let decoded = Packet::decode(&packet.encode()).expect("decodes");
         assert_eq!(decoded, *packet);
         let times = match self.rng.random::<f64>() {
             draw if draw < self.loss => 0,
-            draw if draw < self.loss + self.double => 2,
+            draw if draw < self.loss + self.duplication => 2,
             _ => 1,
         };
-        if self.cut.contains(&(from, to)) {
+        if self.blocked.contains(&(from, to)) {
             return;
         }
         for _ in 0..times {
             let at = self.now + self.delay();
             let packet = packet.clone();
-            self.put(at, Mail::Packet { to, packet });
+            self.schedule(at, Delivery::Packet { to, packet });
         }
     }
 
@@ -64,86 +64,112 @@
         envelope: Envelope,
     ) {
         let Some(to) = self.index(to) else { return };
-        if self.cut.contains(&(from, to)) {
-            // Nothing comes back: only the deadline ends the call.
+        if self.blocked.contains(&(from, to)) {
+            // No reply is sent: only the deadline ends the call.
             return;
         }
         let at = self.now + self.delay();
-        let hop = Mail::Hop { from, call, to, envelope };
-        if self.rng.random::<f64>() < self.double {
+        let hop = Delivery::Hop { from, call, to, envelope };
+        if self.rng.random::<f64>() < self.duplication {
             let late = at + Millis(self.rng.random_range(0..500));
-            self.put(late, hop.clone());
+            self.schedule(late, hop.clone());
         }
-        self.put(at, hop);
+        self.schedule(at, hop);
     }
 
-    fn run(&mut self, index: usize, call: CallId, envelope: &Envelope) {
+    fn start_call(&mut self, index: usize, call: CallId, envelope: &Envelope) {
         if let Some(ticket) = envelope.ticket {
-            let fate = self.fates.entry(ticket.nonce).or_default();
-            fate.runs += 1;
-            if fate.runs > 1 {
+            let history = self.histories.entry(ticket.nonce).or_default();
+            history.runs += 1;
+            if history.runs > 1 {
                 let text = format!("{} ran twice", ticket.nonce);
                 self.violations.push(text);
             }
-            if fate.pending == 0 && !fate.unsure {
-                let text = format!("{} ran after `no`", ticket.nonce);
+            if history.pending == 0 && !history.uncertain {
+                let text = format!(
+                    "{} ran after it was reported as not run",
+                    ticket.nonce
+                );
                 self.violations.push(text);
             }
         }
-        let life = self.life(index);
-        let at = self.now + self.service;
-        self.put(at, Mail::Served { at: index, life, call });
+        let incarnation = self.incarnation(index);
+        let at = self.now + self.service_time;
+        self.schedule(
+            at,
+            Delivery::ServerReply { at: index, incarnation, call },
+        );
     }
 
-    /// A caller, or a peer's call, has its final answer.
-    fn ends(&mut self, index: usize, call: CallId, told: Told) {
-        let hop =
-            self.sites[index].as_mut().and_then(|s| s.hops.remove(&call));
-        let ran = match &told {
-            Told::Answer(_) => Ran::Yes,
-            Told::Refused(refusal) => refusal.ran,
+    /// Returns the outcome of a call to the peer or caller that sent it.
+    fn finish_call(&mut self, index: usize, call: CallId, outcome: Outcome) {
+        let hop = self.hosts[index]
+            .as_mut()
+            .and_then(|host| host.hops.remove(&call));
+        let ran = match &outcome {
+            Outcome::Answered(_) => Ran::Yes,
+            Outcome::Refused(refusal) => refusal.ran,
         };
-        if let Some((from, life, theirs)) = hop {
+        if let Some((from, incarnation, peer_call)) = hop {
             let trailer = Trailer::default();
-            let reply = match told {
-                Told::Answer(status) => {
+            let reply = match outcome {
+                Outcome::Answered(status) => {
                     Reply::Whole { status, size: 2, trailer }
                 }
-                Told::Refused(refusal) => Reply::Refused { refusal, trailer },
+                Outcome::Refused(refusal) => {
+                    Reply::Refused { refusal, trailer }
+                }
             };
-            let back = !self.cut.contains(&(index, from));
+            let back = !self.blocked.contains(&(index, from));
             let delay = self.delay();
             if back {
-                self.post_back(from, life, theirs, reply, delay);
+                self.schedule_reply(
+                    from,
+                    incarnation,
+                    peer_call,
+                    reply,
+                    delay,
+                );
             }
             return;
         }
-        if let Some(begun) = self.callers.remove(&(index, call)) {
-            if let Some(begun) = begun
+        if let Some(attempt) = self.callers.remove(&(index, call)) {
+            if let Some(attempt) = attempt
                 && ran == Ran::No
-                && self.is_false(begun)
-                && !is_about_another(&told)
+                && self.refutes_not_run(attempt)
+                && !rejects_ticket(&outcome)
             {
-                let nonce = begun.nonce;
-                let text = format!("{nonce} ran, but was told `no`: {told:?}");
+                let nonce = attempt.nonce;
+                let text = format!(
+                    "{nonce} ran, but was reported as not run: {outcome:?}"
+                );
                 self.violations.push(text);
             }
-            self.caller_ends(begun, ran);
-            self.told.insert((index, call), told);
+            self.finish_attempt(attempt, ran);
+            self.outcomes.insert((index, call), outcome);
         }
     }
 
-    pub(super) fn caller_ends(&mut self, begun: Option<Try>, ran: Ran) {
-        let Some(begun) = begun else { return };
-        let fate = self.fates.entry(begun.nonce).or_default();
-        fate.pending = fate.pending.saturating_sub(1);
-        fate.unsure |= ran != Ran::No;
+    pub(super) fn finish_attempt(
+        &mut self,
+        attempt: Option<Attempt>,
+        ran: Ran,
+    ) {
+        let Some(attempt) = attempt else { return };
+        let history = self.histories.entry(attempt.nonce).or_default();
+        history.pending = history.pending.saturating_sub(1);
+        history.uncertain |= ran != Ran::No;
     }
 
-    fn platform(&mut self, index: usize, op: OpId, ask: platform::Request) {
-        let life = self.life(index);
+    fn platform(
+        &mut self,
+        index: usize,
+        op: OpId,
+        request: platform::Request,
+    ) {
+        let incarnation = self.incarnation(index);
         let down = self.fault == Fault::Down;
-        let reply = match ask {
+        let reply = match request {
             _ if down => platform::Reply::Down,
             platform::Request::Get { key } => self.get(&key),
             platform::Request::List { prefix } => {
@@ -167,13 +193,14 @@
                 }
             }
         };
-        // A watch that finds nothing new is answered late.
+        // An unchanged watch is answered late, as a long poll is.
         let wait = match reply {
             platform::Reply::Unchanged => Millis(300),
             _ => self.delay(),
         };
-        let mail = Mail::Platform { to: index, life, op, reply };
-        self.put(self.now + wait, mail);
+        let delivery =
+            Delivery::Platform { to: index, incarnation, op, reply };
+        self.schedule(self.now + wait, delivery);
     }
 
     fn get(&self, key: &Key) -> platform::Reply {
@@ -199,9 +226,10 @@
     }
 }
 
-/// A refusal of a call that is not the ticket's own.
-fn is_about_another(told: &Told) -> bool {
+/// Returns true for a refusal that concerns a forged or reused ticket: it
+/// says nothing about the ticket's own call.
+fn rejects_ticket(outcome: &Outcome) -> bool {
     use walnutmoor_core::error::Kind::{TicketForged, TicketReused};
-    let Told::Refused(refusal) = told else { return false };
+    let Outcome::Refused(refusal) = outcome else { return false };
     matches!(refusal.kind, TicketForged | TicketReused)
 }
--- a/crates/walnutmoor-core/tests/net/mod.rs
+++ b/crates/walnutmoor-core/tests/net/mod.rs
@@ -1,6 +1,6 @@
-//! Several nodes of the core wired together in memory, with a platform, a
-//! backend server beside each node, and a network that loses, delays,
-//! doubles and reorders. All of it is drawn from one seed.
+//! A deterministic in-memory simulation of a cluster: nodes with a backend
+//! server each, a platform, and a network that loses, delays, duplicates and
+//! reorders packets. All randomness comes from one seed.
 
 #![allow(dead_code)]
 
@@ -17,25 +17,25 @@
     error::{Ran, Refusal},
     gossip::Packet,
     id::{self, CallId, NodeId, Revision, Zone},
-    node::{self, Action, AskId, Event, Node, OpId, Starting},
+    node::{self, Action, Event, Node, OpId, QueryId, Starting},
     platform::{self, Key, Object, Version},
     server::Announcement,
     ticket::{Nonce, Ticket},
     time::Millis,
 };
 
-/// One thing on its way.
+/// An event in transit.
 #[derive(Clone, Debug)]
-enum Mail {
+enum Delivery {
     Packet { to: usize, packet: Box<Packet> },
     Hop { from: usize, call: CallId, to: usize, envelope: Envelope },
-    Back { to: usize, life: u64, call: CallId, reply: Reply },
-    Served { at: usize, life: u64, call: CallId },
-    Platform { to: usize, life: u64, op: OpId, reply: platform::Reply },
-    Outside { to: usize, event: Box<Event> },
+    Reply { to: usize, incarnation: u64, call: CallId, reply: Reply },
+    ServerReply { at: usize, incarnation: u64, call: CallId },
+    Platform { to: usize, incarnation: u64, op: OpId, reply: platform::Reply },
+    Local { to: usize, event: Box<Event> },
 }
 
-/// How the platform behaves.
+/// A fault of the platform.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Fault {
     #[default]
@@ -44,37 +44,37 @@
     LoseAnswers,
 }
 
-/// What a caller was told in the end.
+/// The final outcome of a call, as reported to its caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Told {
-    Answer(u16),
+pub enum Outcome {
+    Answered(u16),
     Refused(Refusal),
 }
 
-struct Site {
+struct Host {
     node: Node<Starting>,
-    life: u64,
+    incarnation: u64,
     paused: bool,
-    waiting: Vec<Mail>,
+    buffered: Vec<Delivery>,
     hops: HashMap<CallId, (usize, u64, CallId)>,
     revision: Revision,
 }
 
-/// What a ticket's callers know, and what really happened.
+/// The runs of a ticket's call, and what its callers were told.
 #[derive(Debug, Default)]
-pub struct Fate {
+pub struct TicketHistory {
     pub runs: u32,
     pub pending: u32,
     pub attempts: u32,
-    pub unsure: bool,
+    pub uncertain: bool,
 }
 
-/// One attempt of a caller with a ticket, and what was so when it began.
+/// A caller's attempt with a ticket, and the ticket's history at its start.
 ///
-/// *Not run* is said of one attempt. If others of the same ticket were
-/// under way beside it, one of them may have run the call since.
+/// A refusal says only of its own attempt that the call did not run: a
+/// concurrent attempt with the same ticket may still run it.
 #[derive(Clone, Copy, Debug)]
-struct Try {
+struct Attempt {
     nonce: Nonce,
     runs: u32,
     attempts: u32,
@@ -84,23 +84,23 @@
 pub struct Net {
     pub now: Millis,
     rng: ChaCha8Rng,
-    sites: Vec<Option<Site>>,
-    mail: BTreeMap<(Millis, u64), Mail>,
+    hosts: Vec<Option<Host>>,
+    deliveries: BTreeMap<(Millis, u64), Delivery>,
     serial: u64,
     next_call: u64,
-    next_ask: u64,
+    next_query: u64,
     objects: BTreeMap<Key, Object>,
     version: u64,
     pub fault: Fault,
-    cut: HashSet<(usize, usize)>,
+    blocked: HashSet<(usize, usize)>,
     pub loss: f64,
-    pub double: f64,
-    pub service: Millis,
-    pub fates: HashMap<Nonce, Fate>,
-    callers: HashMap<(usize, CallId), Option<Try>>,
-    pub told: HashMap<(usize, CallId), Told>,
-    pub issued: HashMap<(usize, AskId), Result<Ticket, Refusal>>,
-    pub decided: HashMap<(usize, AskId), Result<Revision, Refusal>>,
+    pub duplication: f64,
+    pub service_time: Millis,
+    pub histories: HashMap<Nonce, TicketHistory>,
+    callers: HashMap<(usize, CallId), Option<Attempt>>,
+    pub outcomes: HashMap<(usize, CallId), Outcome>,
+    pub issued: HashMap<(usize, QueryId), Result<Ticket, Refusal>>,
+    pub decided: HashMap<(usize, QueryId), Result<Revision, Refusal>>,
     pub violations: Vec<String>,
 }
 
@@ -120,27 +120,28 @@
 }
 
 impl Net {
-    /// Nodes, each beside a server of the service `work`, on a platform
-    /// with an `order` class that runs once and a `browse` class.
+    /// Starts `count` nodes, each with a server of the service `work`. The
+    /// stored configuration has an at-most-once class `order` and a class
+    /// `browse`.
     pub fn new(count: usize, seed: u64) -> Net {
         let mut net = Net {
             now: Millis(0),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            sites: Vec::new(),
-            mail: BTreeMap::new(),
+            hosts: Vec::new(),
+            deliveries: BTreeMap::new(),
             serial: 0,
             next_call: 0,
-            next_ask: 0,
+            next_query: 0,
             objects: BTreeMap::new(),
             version: 0,
             fault: Fault::None,
-            cut: HashSet::new(),
+            blocked: HashSet::new(),
             loss: 0.0,
-            double: 0.0,
-            service: Millis(40),
-            fates: HashMap::new(),
+            duplication: 0.0,
+            service_time: Millis(40),
+            histories: HashMap::new(),
             callers: HashMap::new(),
-            told: HashMap::new(),
+            outcomes: HashMap::new(),
             issued: HashMap::new(),
             decided: HashMap::new(),
             violations: Vec::new(),
@@ -154,15 +155,15 @@
         let value = serde_json::to_string(&config).unwrap();
         net.write(Key::config(), None, value);
         for index in 0..count {
-            net.sites.push(None);
+            net.hosts.push(None);
             net.start(index);
         }
         net
     }
 
-    /// Starts a node's next life.
+    /// Starts a new incarnation of a node, unless the node is up.
     pub fn start(&mut self, index: usize) {
-        if self.sites[index].is_some() {
+        if self.hosts[index].is_some() {
             return;
         }
         let seed: u64 = self.rng.random();
@@ -170,15 +171,15 @@
             .zone(zone(index))
             .seed(seed)
             .version(1 + self.now.0);
-        let site = Site {
+        let host = Host {
             node: Node::new(config, self.now),
-            life: seed,
+            incarnation: seed,
             paused: false,
-            waiting: Vec::new(),
+            buffered: Vec::new(),
             hops: HashMap::new(),
             revision: Revision(0),
         };
-        self.sites[index] = Some(site);
+        self.hosts[index] = Some(host);
         let what = Announcement {
             service: "work".parse().unwrap(),
             slots: 1,
@@ -189,65 +190,72 @@
         self.event(index, Event::Tick);
     }
 
-    /// Ends a node without a word. Calls that it had under way break off.
+    /// Crashes a node. The connections of its calls in flight break.
     pub fn kill(&mut self, index: usize) {
-        let Some(site) = self.sites[index].take() else { return };
-        for (from, life, call) in site.hops.into_values() {
-            self.post_back(from, life, call, Reply::Broken, Millis(5));
+        let Some(host) = self.hosts[index].take() else { return };
+        for (from, incarnation, call) in host.hops.into_values() {
+            self.schedule_reply(
+                from,
+                incarnation,
+                call,
+                Reply::Broken,
+                Millis(5),
+            );
         }
         let gone: Vec<_> =
             self.callers.keys().filter(|k| k.0 == index).copied().collect();
         for key in gone {
-            // The caller's connection broke: it knows nothing.
-            let begun = self.callers.remove(&key).flatten();
-            self.caller_ends(begun, Ran::Unknown);
+            // The caller's connection broke: the outcome is unknown.
+            let attempt = self.callers.remove(&key).flatten();
+            self.finish_attempt(attempt, Ran::Unknown);
         }
     }
 
     pub fn is_up(&self, index: usize) -> bool {
-        self.sites[index].is_some()
+        self.hosts[index].is_some()
     }
 
-    /// Freezes a node: mail for it waits, its time stands still for it.
+    /// Pauses a node: its deliveries are buffered and its timers stop.
     pub fn pause(&mut self, index: usize) {
-        if let Some(site) = &mut self.sites[index] {
-            site.paused = true;
+        if let Some(host) = &mut self.hosts[index] {
+            host.paused = true;
         }
     }
 
-    /// Wakes a frozen node: all that waited comes at once.
-    pub fn wake(&mut self, index: usize) {
-        let Some(site) = &mut self.sites[index] else { return };
-        site.paused = false;
-        let waiting = std::mem::take(&mut site.waiting);
-        for mail in waiting {
-            self.put(self.now, mail);
+    /// Resumes a paused node, which gets all buffered deliveries at once.
+    pub fn resume(&mut self, index: usize) {
+        let Some(host) = &mut self.hosts[index] else { return };
+        host.paused = false;
+        let buffered = std::mem::take(&mut host.buffered);
+        for delivery in buffered {
+            self.schedule(self.now, delivery);
         }
     }
 
-    /// Cuts the way from one node to another.
-    pub fn cut(&mut self, from: usize, to: usize) {
-        self.cut.insert((from, to));
+    /// Blocks traffic in one direction, from one node to another.
+    pub fn block(&mut self, from: usize, to: usize) {
+        self.blocked.insert((from, to));
     }
 
+    /// Ends all network and platform faults and resumes all nodes.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.blocked.clear();
         self.loss = 0.0;
-        self.double = 0.0;
+        self.duplication = 0.0;
         self.fault = Fault::None;
-        for index in 0..self.sites.len() {
-            self.wake(index);
+        for index in 0..self.hosts.len() {
+            self.resume(index);
         }
     }
 
     pub fn status(&self, index: usize) -> Option<node::Status> {
-        let site = self.sites[index].as_ref()?;
-        Some(site.node.status(self.now))
+        let host = self.hosts[index].as_ref()?;
+        Some(host.node.status(self.now))
     }
 
     pub fn revision(&self, index: usize) -> Option<Revision> {
-        let site = self.sites[index].as_ref()?;
-        Some(site.node.configuration().revision)
+        let host = self.hosts[index].as_ref()?;
+        Some(host.node.configuration().revision)
     }
 
     pub fn stored(&self) -> Config {
@@ -255,31 +263,32 @@
         Config::from_json(&object.value).unwrap()
     }
 
-    /// What a store that was restored would hold.
+    /// Replaces the stored configuration, as a restore from a backup does.
     pub fn restore(&mut self, config: &Config) {
         let value = serde_json::to_string(config).unwrap();
         let version = Version(self.version);
         self.objects.insert(Key::config(), Object { version, value });
     }
 
-    /// A caller asks a node for a ticket.
-    pub fn issue(&mut self, index: usize) -> AskId {
-        self.next_ask += 1;
-        let ask = AskId(self.next_ask);
-        self.outside(index, Event::Issue { ask });
-        ask
+    /// Requests a ticket from a node.
+    pub fn issue(&mut self, index: usize) -> QueryId {
+        self.next_query += 1;
+        let query = QueryId(self.next_query);
+        self.send_local(index, Event::Issue { query });
+        query
     }
 
-    /// A caller calls; with a ticket, the class that runs once.
+    /// Sends a call: of class `order` with a ticket, of class `browse`
+    /// without.
     pub fn call(&mut self, index: usize, ticket: Option<Ticket>) -> CallId {
         self.next_call += 1;
         let call = CallId(self.next_call);
-        if self.sites[index].is_none() {
+        if self.hosts[index].is_none() {
             return call;
         }
         let name = if ticket.is_some() { "order" } else { "browse" };
-        let begun = ticket.map(|t| self.begin_try(t.nonce));
-        self.callers.insert((index, call), begun);
+        let attempt = ticket.map(|t| self.begin_attempt(t.nonce));
+        self.callers.insert((index, call), attempt);
         let arrival = Arrival {
             call,
             service: "work".parse().unwrap(),
@@ -292,54 +301,55 @@
             parent: None,
             fingerprint: 7,
         };
-        self.outside(index, Event::Arrive(arrival));
+        self.send_local(index, Event::Arrive(arrival));
         call
     }
 
-    fn begin_try(&mut self, nonce: Nonce) -> Try {
-        let fate = self.fates.entry(nonce).or_default();
-        fate.attempts += 1;
-        fate.pending += 1;
-        let (runs, attempts) = (fate.runs, fate.attempts);
-        Try { nonce, runs, attempts, alone: fate.pending == 1 }
+    fn begin_attempt(&mut self, nonce: Nonce) -> Attempt {
+        let history = self.histories.entry(nonce).or_default();
+        history.attempts += 1;
+        history.pending += 1;
+        let (runs, attempts) = (history.runs, history.attempts);
+        Attempt { nonce, runs, attempts, alone: history.pending == 1 }
     }
 
-    /// True if a `no` cannot be explained by an attempt beside this one.
-    fn is_false(&self, begun: Try) -> bool {
-        let fate = &self.fates[&begun.nonce];
-        let alone = begun.alone && fate.attempts == begun.attempts;
-        begun.runs > 0 || (alone && fate.runs > 0)
+    /// Returns true if the call ran and no concurrent attempt can have run
+    /// it, so that reporting this attempt as not run is false.
+    fn refutes_not_run(&self, attempt: Attempt) -> bool {
+        let history = &self.histories[&attempt.nonce];
+        let alone = attempt.alone && history.attempts == attempt.attempts;
+        attempt.runs > 0 || (alone && history.runs > 0)
     }
 
-    /// An operator proposes a change.
-    pub fn propose(&mut self, index: usize, change: &str, op: Op) -> AskId {
-        self.next_ask += 1;
-        let ask = AskId(self.next_ask);
+    /// Proposes a change of configuration.
+    pub fn propose(&mut self, index: usize, change: &str, op: Op) -> QueryId {
+        self.next_query += 1;
+        let query = QueryId(self.next_query);
         let change = change.parse().unwrap();
         let author = Author { change, by: "op".into(), at: self.now.0 };
         let base = None;
-        self.outside(index, Event::Propose { ask, author, op, base });
-        ask
+        self.send_local(index, Event::Propose { query, author, op, base });
+        query
     }
 
-    fn put(&mut self, at: Millis, mail: Mail) {
+    fn schedule(&mut self, at: Millis, delivery: Delivery) {
         self.serial += 1;
-        self.mail.insert((at, self.serial), mail);
+        self.deliveries.insert((at, self.serial), delivery);
     }
 
     fn delay(&mut self) -> Millis {
         Millis(self.rng.random_range(1..=4))
     }
 
-    /// Lets time pass, one instant with something due after the other.
+    /// Advances the time, handling deliveries and timers in order.
     pub fn advance(&mut self, span: Millis) {
         let until = self.now + span;
         loop {
-            let mail = self.mail.keys().next().map(|(at, _)| *at);
-            let wakes = self.sites.iter().flatten();
-            let wakes = wakes.filter(|s| !s.paused);
-            let wake = wakes.map(|s| s.node.next_wake()).min();
-            let next = [mail, wake].into_iter().flatten().min();
+            let delivery = self.deliveries.keys().next().map(|(at, _)| *at);
+            let wakes = self.hosts.iter().flatten();
+            let wakes = wakes.filter(|host| !host.paused);
+            let wake = wakes.map(|host| host.node.next_wake()).min();
+            let next = [delivery, wake].into_iter().flatten().min();
             let Some(next) = next.filter(|at| *at <= until) else { break };
             self.now = self.now.max(next);
             self.deliver();
@@ -349,82 +359,91 @@
     }
 
     fn deliver(&mut self) {
-        while let Some(entry) = self.mail.first_entry() {
+        while let Some(entry) = self.deliveries.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
-            let mail = entry.remove();
-            self.hand_over(mail);
+            let delivery = entry.remove();
+            self.deliver_one(delivery);
         }
     }
 
     fn tick(&mut self) {
-        for index in 0..self.sites.len() {
-            let due = self.sites[index]
-                .as_ref()
-                .is_some_and(|s| !s.paused && s.node.next_wake() <= self.now);
+        for index in 0..self.hosts.len() {
+            let due = self.hosts[index].as_ref().is_some_and(|host| {
+                !host.paused && host.node.next_wake() <= self.now
+            });
             if due {
                 self.event(index, Event::Tick);
-                let site = self.sites[index].as_ref();
-                let wake = site.map(|s| s.node.next_wake());
-                // Otherwise its thread would spin.
-                assert!(wake > Some(self.now), "no progress at {wake:?}");
+                let host = self.hosts[index].as_ref();
+                let wake = host.map(|host| host.node.next_wake());
+                // Otherwise the driver would busy-loop.
+                assert!(
+                    wake > Some(self.now),
+                    "tick of node {index} left a timer due at {wake:?}"
+                );
             }
         }
     }
 
-    fn target(mail: &Mail) -> usize {
-        match mail {
-            Mail::Packet { to, .. }
-            | Mail::Hop { to, .. }
-            | Mail::Back { to, .. }
-            | Mail::Outside { to, .. }
-            | Mail::Platform { to, .. } => *to,
-            Mail::Served { at, .. } => *at,
+    fn target(delivery: &Delivery) -> usize {
+        match delivery {
+            Delivery::Packet { to, .. }
+            | Delivery::Hop { to, .. }
+            | Delivery::Reply { to, .. }
+            | Delivery::Local { to, .. }
+            | Delivery::Platform { to, .. } => *to,
+            Delivery::ServerReply { at, .. } => *at,
         }
     }
 
-    fn hand_over(&mut self, mail: Mail) {
-        let to = Net::target(&mail);
-        let Some(site) = &mut self.sites[to] else {
-            if let Mail::Hop { from, call, .. } = mail {
-                let life = self.life(from);
+    fn deliver_one(&mut self, delivery: Delivery) {
+        let to = Net::target(&delivery);
+        let Some(host) = &mut self.hosts[to] else {
+            if let Delivery::Hop { from, call, .. } = delivery {
+                let incarnation = self.incarnation(from);
                 let none = Reply::Unreachable;
-                self.post_back(from, life, call, none, Millis(1));
+                self.schedule_reply(from, incarnation, call, none, Millis(1));
             }
             return;
         };
-        if site.paused {
-            site.waiting.push(mail);
+        if host.paused {
+            host.buffered.push(delivery);
             return;
         }
-        let life = site.life;
-        match mail {
-            Mail::Packet { packet, .. } => {
+        let incarnation = host.incarnation;
+        match delivery {
+            Delivery::Packet { packet, .. } => {
                 self.event(to, Event::Packet(packet))
             }
-            Mail::Outside { event, .. } => self.event(to, *event),
-            Mail::Hop { from, call, envelope, .. } => {
+            Delivery::Local { event, .. } => self.event(to, *event),
+            Delivery::Hop { from, call, envelope, .. } => {
                 self.hop(from, call, to, envelope)
             }
-            Mail::Back { life: of, call, reply, .. } if of == life => {
+            Delivery::Reply { incarnation: of, call, reply, .. }
+                if of == incarnation =>
+            {
                 self.event(to, Event::Replied { call, reply })
             }
-            Mail::Served { life: of, call, .. } if of == life => {
+            Delivery::ServerReply { incarnation: of, call, .. }
+                if of == incarnation =>
+            {
                 let trailer = Trailer::default();
                 let (status, size) = (200, 2);
                 let reply = Reply::Whole { status, size, trailer };
                 self.event(to, Event::Replied { call, reply });
             }
-            Mail::Platform { life: of, op, reply, .. } if of == life => {
+            Delivery::Platform { incarnation: of, op, reply, .. }
+                if of == incarnation =>
+            {
                 self.event(to, Event::Platform { op, reply })
             }
             _ => {}
         }
     }
 
-    fn life(&self, index: usize) -> u64 {
-        self.sites[index].as_ref().map_or(0, |s| s.life)
+    fn incarnation(&self, index: usize) -> u64 {
+        self.hosts[index].as_ref().map_or(0, |host| host.incarnation)
     }
 
     fn hop(
@@ -435,53 +454,56 @@
         envelope: Envelope,
     ) {
         self.next_call += 1;
-        let own = CallId(self.next_call);
-        let life = self.life(from);
-        if let Some(site) = &mut self.sites[to] {
-            site.hops.insert(own, (from, life, call));
+        let local = CallId(self.next_call);
+        let incarnation = self.incarnation(from);
+        if let Some(host) = &mut self.hosts[to] {
+            host.hops.insert(local, (from, incarnation, call));
         }
         if envelope.leg == Leg::Owner {
             let nonce = envelope.ticket.map(|t| t.nonce);
             if let Some(nonce) = nonce {
-                self.fates.entry(nonce).or_default().pending += 1;
+                self.histories.entry(nonce).or_default().pending += 1;
             }
         }
-        self.event(to, Event::Hop { call: own, envelope });
+        self.event(to, Event::Hop { call: local, envelope });
     }
 
-    fn post_back(
+    fn schedule_reply(
         &mut self,
         to: usize,
-        life: u64,
+        incarnation: u64,
         call: CallId,
         reply: Reply,
         delay: Millis,
     ) {
-        self.put(self.now + delay, Mail::Back { to, life, call, reply });
+        self.schedule(
+            self.now + delay,
+            Delivery::Reply { to, incarnation, call, reply },
+        );
     }
 
-    /// A caller or an operator speaks to a node; a frozen one hears later.
-    fn outside(&mut self, to: usize, event: Event) {
+    /// Sends a node an event from a caller or operator, without delay.
+    fn send_local(&mut self, to: usize, event: Event) {
         let event = Box::new(event);
-        self.hand_over(Mail::Outside { to, event });
+        self.deliver_one(Delivery::Local { to, event });
     }
 
     fn event(&mut self, index: usize, event: Event) {
-        let Some(site) = &mut self.sites[index] else { return };
+        let Some(host) = &mut self.hosts[index] else { return };
         let mut actions = Vec::new();
-        site.node.handle(self.now, event, &mut actions);
-        let revision = site.node.configuration().revision;
-        if revision < site.revision {
-            let text = format!("node {index} went back to {revision}");
+        host.node.handle(self.now, event, &mut actions);
+        let revision = host.node.configuration().revision;
+        if revision < host.revision {
+            let text = format!("node {index} reverted to revision {revision}");
             self.violations.push(text);
         }
-        site.revision = revision;
+        host.revision = revision;
         for action in actions {
-            self.act(index, action);
+            self.perform(index, action);
         }
     }
 
-    /// Writes the configuration behind the nodes' backs.
+    /// Writes a configuration to the store, bypassing the nodes.
     pub fn store(&mut self, config: &Config) {
         let base = self.objects.get(&Key::config()).map(|o| o.version);
         let value = serde_json::to_string(config).unwrap();
@@ -489,14 +511,16 @@
     }
 
     pub fn count(&self) -> usize {
-        self.sites.len()
+        self.hosts.len()
     }
 
-    pub fn gossip_len(&self, index: usize) -> usize {
-        self.sites[index].as_ref().map_or(0, |s| s.node.directory().live())
+    pub fn live_nodes(&self, index: usize) -> usize {
+        self.hosts[index]
+            .as_ref()
+            .map_or(0, |host| host.node.directory().live())
     }
 
-    pub fn assert_sound(&self) {
+    pub fn assert_no_violations(&self) {
         assert!(self.violations.is_empty(), "{:#?}", self.violations);
     }
 }
--- a/crates/walnutmoor/src/duty/decide.rs
+++ b/crates/walnutmoor/src/duty/decide.rs
@@ -20,7 +20,7 @@
     config::{Author, Config, Op},
     gossip::Packet,
     node::{
-        Action, AskId, Draining, Event, Node, Note, OpId, Serving, Stage,
+        Action, Draining, Event, Node, Note, OpId, QueryId, Serving, Stage,
         Starting, Stats, Status,
     },
     once::Outcome,
@@ -156,9 +156,9 @@
     waiting: HashMap<CallId, oneshot::Sender<Done>>,
     loads: HashMap<CallId, Load>,
     kept: HashMap<Nonce, Answer>,
-    tickets: HashMap<AskId, oneshot::Sender<Result<Ticket, Refusal>>>,
-    outcomes: HashMap<AskId, oneshot::Sender<Result<Outcome, Refusal>>>,
-    changes: HashMap<AskId, oneshot::Sender<Result<Revision, Refusal>>>,
+    tickets: HashMap<QueryId, oneshot::Sender<Result<Ticket, Refusal>>>,
+    outcomes: HashMap<QueryId, oneshot::Sender<Result<Outcome, Refusal>>>,
+    changes: HashMap<QueryId, oneshot::Sender<Result<Revision, Refusal>>>,
     asks: u64,
     backlog: VecDeque<Event>,
     actions: Vec<Action>,
@@ -281,9 +281,9 @@
         }
     }
 
-    fn next_ask(&mut self) -> AskId {
+    fn next_ask(&mut self) -> QueryId {
         self.asks += 1;
-        AskId(self.asks)
+        QueryId(self.asks)
     }
 
     fn take<S: Stage>(&mut self, node: &mut Node<S>, input: Input) {
@@ -301,19 +301,19 @@
                 self.handle(node, Event::Replied { call, reply }, answer);
             }
             Input::Issue(reply) => {
-                let ask = self.next_ask();
-                self.tickets.insert(ask, reply);
-                self.handle(node, Event::Issue { ask }, None);
+                let query = self.next_ask();
+                self.tickets.insert(query, reply);
+                self.handle(node, Event::Issue { query }, None);
             }
             Input::Inspect(ticket, reply) => {
-                let ask = self.next_ask();
-                self.outcomes.insert(ask, reply);
-                self.handle(node, Event::Inspect { ask, ticket }, None);
+                let query = self.next_ask();
+                self.outcomes.insert(query, reply);
+                self.handle(node, Event::Inspect { query, ticket }, None);
             }
             Input::Propose { author, op, base, reply } => {
-                let ask = self.next_ask();
-                self.changes.insert(ask, reply);
-                let event = Event::Propose { ask, author, op, base };
+                let query = self.next_ask();
+                self.changes.insert(query, reply);
+                let event = Event::Propose { query, author, op, base };
                 self.handle(node, event, None);
             }
             Input::Show(reply) => {
@@ -363,12 +363,12 @@
                     self.finish(call, Ok(answer), None);
                 }
             }
-            Action::Keep { nonce } => {
+            Action::CacheAnswer { nonce } => {
                 if let Some(answer) = answer {
                     self.kept.insert(nonce, answer.clone());
                 }
             }
-            Action::Forget { nonce } => drop(self.kept.remove(&nonce)),
+            Action::EvictAnswer { nonce } => drop(self.kept.remove(&nonce)),
             Action::Forward { call, to, envelope } => {
                 self.dispatch(call, Some(to), envelope)
             }
@@ -389,14 +389,14 @@
                     self.backlog.push_back(Event::Platform { op, reply });
                 }
             }
-            Action::Issued { ask, result } => {
-                tell(self.tickets.remove(&ask), result)
+            Action::Issued { query, result } => {
+                tell(self.tickets.remove(&query), result)
             }
-            Action::Inspected { ask, result } => {
-                tell(self.outcomes.remove(&ask), result)
+            Action::Inspected { query, result } => {
+                tell(self.outcomes.remove(&query), result)
             }
-            Action::Decided { ask, result } => {
-                tell(self.changes.remove(&ask), result)
+            Action::Decided { query, result } => {
+                tell(self.changes.remove(&query), result)
             }
             Action::Note(note) => write_note(&note),
         }
--- a/crates/walnutmoor/src/settings.rs
+++ b/crates/walnutmoor/src/settings.rs
@@ -430,8 +430,8 @@
             .marks_max(limits.marks)
             .deadline_max(limits.deadline.0)
             .ticket_span(limits.ticket.0)
-            .answer_max(limits.kept_answer.0)
-            .patience(limits.patience.0)
+            .answer_max_bytes(limits.kept_answer.0)
+            .queue_timeout(limits.patience.0)
             .linger(limits.linger.0)
     }
 }
