--- a/crates/walnutmoor-core/src/node/tickets.rs
+++ b/crates/walnutmoor-core/src/node/tickets.rs
@@ -334,7 +334,7 @@
         };
         let refusal = Refusal::new(Kind::OwnerSilent, ran);
         let queries =
-            self.witness_queries.iter().filter(|(_, a)| a.ticket == ticket);
+            self.witness_queries.iter().filter(|(_, q)| q.ticket == ticket);
         let mut calls: Vec<CallId> = queries.map(|(call, _)| *call).collect();
         calls.sort();
         for call in calls {
@@ -476,7 +476,7 @@
 
     pub(super) fn next_ticket_wake(&self) -> Option<Millis> {
         let marks = self.pending_marks.values().map(|m| m.next_send);
-        let queries = self.witness_queries.values().map(|a| a.next_send);
+        let queries = self.witness_queries.values().map(|q| q.next_send);
         let others = self.inspections.values().map(|i| i.next_send);
         let issues = self.stamps.waiting.iter().map(|(until, _)| *until);
         marks.chain(queries).chain(others).chain(issues).min()
@@ -515,7 +515,7 @@
 
     fn resend_witness_queries(&mut self, now: Millis, out: &mut Vec<Action>) {
         let due =
-            self.witness_queries.iter().filter(|(_, a)| a.next_send <= now);
+            self.witness_queries.iter().filter(|(_, q)| q.next_send <= now);
         let mut due: Vec<CallId> = due.map(|(call, _)| *call).collect();
         due.sort();
         for call in due {
