--- a/crates/walnutmoor-core/src/admit.rs
+++ b/crates/walnutmoor-core/src/admit.rs
@@ -1,20 +1,20 @@
 /*!
-Admission of whole requests: the bottleneck finds a level, every way in
-applies it.
+Request admission: the bottleneck sets an admission level and every entry node
+enforces it.
 
 A [`Level`] admits the keys below it. The node in front of a backend server
-runs a [`Controller`]: it is told how many calls a second the server can
-complete, how many wait and how busy the places are; it measures how much
-demand each class brings, and once a window moves the level towards letting
-in just what can be completed. Levels travel back on the
-answers. Each way in keeps a [`View`] of them: what each service last said,
-and which services each class was seen to pass. It admits a request only if
+runs a [`Controller`]. It is told how many calls a second the server can
+complete, how many are queued and how many slots are in use, and it measures
+the demand of each class. Once a window it moves the level towards admitting
+only what the server can complete. Levels are reported back with the responses.
+Each entry node keeps a [`View`] with the levels last reported by each service
+and the services that each class was seen to call, and admits a request only if
 its key is below the strictest level on that path.
 
-Only the bottleneck guesses. Demand that is refused upstream never reaches
-it, so it knows the demand of a closed step from the open steps of the same
-class: request ids are hashed evenly over the steps. That is what lets the
-level jump to where it fits, instead of creeping there.
+Only the bottleneck estimates demand. Requests refused at the entry never reach
+it, so it extrapolates the demand of closed steps from the open steps of the
+same class: request ids are hashed evenly over the steps. This lets it set the
+level directly instead of searching for it.
 
 # Example
 
@@ -27,16 +27,16 @@
 
 let mut controller = Controller::new();
 for window in 1..=20 {
-    // Twice as much demand as the server can complete.
+    // The demand is twice what the server can complete.
     for i in 0..64 {
-        controller.arrived(Key::new(Rank(0), i), Level::OPEN);
+        controller.record_arrival(Key::new(Rank(0), i), Level::OPEN);
     }
     controller.tick(Millis(window * 100), Sample {
         capacity: 320.0,
-        hold: 0.1,
-        standing: 30,
-        busy: 1.0,
-        span: 0.1,
+        hold_secs: 0.1,
+        min_queued: 30,
+        utilization: 1.0,
+        window_secs: 0.1,
     });
 }
 assert!(controller.level() < Level::OPEN);
@@ -51,13 +51,13 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use self::view::{PATH_MAX, Report, View, Way};
+pub use self::view::{PATH_MAX, PathLevel, Report, View};
 use crate::{
-    class::{Key, RANKS, STEPS},
+    class::{Key, RANKS, STEPS_PER_RANK},
     time::Millis,
 };
 
-/// Keys below the level are admitted.
+/// An admission level: keys below it are admitted.
 #[derive(
     Clone,
     Copy,
@@ -74,10 +74,10 @@
 pub struct Level(pub u16);
 
 impl Level {
-    /// The level that admits everything.
+    /// The level that admits every key.
     pub const OPEN: Level = Level(Key::COUNT as u16);
 
-    /// True if a key is below the level.
+    /// Returns true if the key is below the level.
     pub fn admits(self, key: Key) -> bool {
         key.index() < usize::from(self.0)
     }
@@ -102,139 +102,126 @@
     }
 }
 
-/// How often a level is found anew. It is also CoDel's interval: queues that
-/// clear within it are bursts, not overload.
+/// The interval between level updates, and the interval over which CoDel
+/// measures the standing queue: a queue that clears within it is a burst, not
+/// overload.
 pub const WINDOW: Millis = Millis(100);
 
-/// The least work standing in the queue throughout a window, in seconds of
-/// the server's capacity, that counts as overload. CoDel's guidance is 5% to
-/// 20% of the interval; the upper end leaves room for a scheduler's noise on
-/// small VMs.
-const STANDING: f64 = 0.02;
-
-/// The weight of a window that shows more demand than was known.
-const RISE: f64 = 0.5;
-
-/// The weight of a window that shows less. It is smaller because a level
-/// that was just raised is not yet known to all ways in: what arrives at
-/// first is less than what will.
-const FALL: f64 = 0.15;
-
-/// Calls in a window that halve its weight: few calls are mostly noise. At
-/// the brief's rates the once classes bring two or three a window, and one
-/// that brings five by chance must not look like twice the demand. Goodput
-/// in the closed loop of `tests/policy.rs`, mean of 30 seeds: 0.91 with 10,
-/// 0.94 with 25, 0.96 with 60; with all capacity given out 0.97 with 60 and
-/// 0.98 with 100.
-const NOISE: f64 = 100.0;
-
-/// A count that is off by more than so many standard deviations of a Poisson
-/// count is no noise and weighs in full: a flood must be known at once, for
-/// until then it is let in and is work begun for nothing.
-const CHANCE: f64 = 4.0;
-
-/// The part of a class's steps that must be open for that.
-const MUCH: f64 = 0.25;
-
-/// What a window leaves of the demand of a closed class; it halves in 2.3 s,
-/// so that the class is tried again in the end.
-const FADE: f64 = 0.97;
-
-/// The demand of a class that was never seen open, in times of the capacity.
-/// A guess on the high side costs some windows; one on the low side floods
-/// the server.
-const UNKNOWN: f64 = 4.0;
-
-/// The part of the places that is to be taken: the rest absorbs the noise of
-/// arrivals. While work stands in the queue all of the capacity is given
-/// out, for queues are short and give up from the bottom; holding back 5%,
-/// 10% and 30% then was tried and cost as much goodput.
-const FILL: f64 = 0.98;
-
-/// How long it takes until a change of the level shows in what arrives: an
-/// answer must carry it back and new calls must come. Changes are spread
-/// over this time and a call's own time.
-const LAG: f64 = 0.3;
-
-/// The shortest window. A queue that overflows ends its window early, for
-/// each call let in meanwhile is work begun for nothing.
-const SHORTEST: Millis = Millis(20);
-
-/// How many windows tell a flood from chance, and by how many standard
-/// deviations of a Poisson count.
+/// The standing queue that counts as overload, in seconds of the server's
+/// capacity. CoDel recommends 5% to 20% of the interval.
+const STANDING_QUEUE_SECS: f64 = 0.02;
+
+/// The weight of a window that shows more demand than estimated.
+const RISING_DEMAND_WEIGHT: f64 = 0.5;
+
+/// The weight of a window that shows less demand than estimated. It is smaller
+/// because entry nodes learn of a raised level with a delay.
+const FALLING_DEMAND_WEIGHT: f64 = 0.15;
+
+/// The number of calls in a window at which the window gets half its weight.
+/// Windows with few calls are dominated by noise.
+const HALF_WEIGHT_CALLS: f64 = 100.0;
+
+/// Deviations beyond this many standard deviations of a Poisson count are not
+/// noise and get full weight, so that a flood is recognized within one window.
+const NOISE_STD_DEVS: f64 = 4.0;
+
+/// The minimum share of open steps in a class for a window to get full weight.
+const FULL_WEIGHT_OPEN_SHARE: f64 = 0.25;
+
+/// The factor by which the demand estimate of a closed class decays each
+/// window, so that the class is eventually admitted again.
+const CLOSED_DEMAND_DECAY: f64 = 0.97;
+
+/// The assumed demand of a class that was never open, as a multiple of the
+/// capacity. An estimate that is too low floods the server; one that is too
+/// high only delays opening the class.
+const UNSEEN_DEMAND_FACTOR: f64 = 4.0;
+
+/// The target share of slots in use. The rest absorbs fluctuation of arrivals.
+const TARGET_UTILIZATION: f64 = 0.98;
+
+/// The time until a level change affects arrivals, in seconds: responses must
+/// carry the level back to callers. Changes are spread over this time plus the
+/// hold time of a call.
+const RESPONSE_DELAY_SECS: f64 = 0.3;
+
+/// The minimum window length. A window ends early when the queue overflows.
+const MIN_WINDOW: Millis = Millis(20);
+
+/// The number of windows checked for a flood, and the excess over the expected
+/// count, in standard deviations of a Poisson count.
 const FLOOD_WINDOWS: usize = 3;
-const FLOOD: f64 = 4.0;
+const FLOOD_STD_DEVS: f64 = 4.0;
 
-/// How many windows tell whether more arrives than can be completed.
-const RECENT: usize = 8;
+/// The number of windows over which the arrival rate is measured.
+const RATE_WINDOWS: usize = 8;
 
-/// The part of its distance to the level that callers apply that a window
-/// takes back.
-const ALIGN: f64 = 0.1;
+/// The share of the gap to the level applied by callers that is closed each
+/// window.
+const ALIGN_GAIN: f64 = 0.1;
 
-/// The part of the way to a level that fits that a window goes.
-const APPROACH: f64 = 0.25;
+/// The share of the gap to the level that fits the demand that is closed each
+/// window.
+const RAISE_GAIN: f64 = 0.25;
 
-/// How long after a jump callers still apply an older level.
-const SETTLED: Millis = Millis(1_500);
+/// How long callers may still apply an older level after a cut.
+const CUT_SETTLE_TIME: Millis = Millis(1_500);
 
-/// Below this part of taken places the known demand is evidently too high.
-const IDLE: f64 = 0.6;
+/// Below this utilization the demand estimate must be too high.
+const IDLE_UTILIZATION: f64 = 0.6;
 
-/// The most steps by which a window then raises the level: with all places
-/// empty a class opens in one window.
-const BET: f64 = STEPS as f64;
+/// The number of steps by which an entirely idle server raises the level each
+/// window: one class.
+const IDLE_RAISE_STEPS_MAX: f64 = STEPS_PER_RANK as f64;
 
-/// Less demand than this, in calls a second, is none.
-const MEASURABLE: f64 = 0.5;
+/// Demand below this rate, in calls a second, counts as zero.
+const DEMAND_RATE_MIN: f64 = 0.5;
 
-/// What a controller is told of one window.
+/// Measurements of one window, as input to [`Controller::tick`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sample {
-    /// Calls a second that the server can complete.
+    /// Calls per second that the server can complete.
     pub capacity: f64,
-    /// How long a call holds its place, in seconds.
-    pub hold: f64,
-    /// The fewest calls that waited at any time in the window.
-    pub standing: usize,
-    /// The part of the places that was taken on average, from 0 to 1.
-    pub busy: f64,
+    /// How long a call holds its slot, in seconds.
+    pub hold_secs: f64,
+    /// The minimum queue length in the window.
+    pub min_queued: usize,
+    /// The average share of slots in use, from 0 to 1.
+    pub utilization: f64,
     /// The length of the window, in seconds.
-    pub span: f64,
+    pub window_secs: f64,
 }
 
-/// Finds the level in front of one backend server.
-///
-/// Three cases, judged once a window:
+/// Computes the admission level in front of one backend server.
 ///
-/// - *flood*: work stands in the queue and far more arrives than can be
-///   completed. The level jumps to where the known demand fits.
-/// - *overload*: work stands in the queue. The level gives by what arrives
-///   beyond the capacity; if nothing does, the queue drains by itself.
-/// - otherwise the level rises to where the known demand fits, then by what
-///   the free places are worth.
+/// Each window is one of three cases:
 ///
-/// Setting the level anew in each window from capacity and demand alone was
-/// tried: at some four calls a window both are so noisy that the level cut
-/// into classes that fitted, and stayed below what the server could do.
+/// - *flood*: there is a standing queue and arrivals far exceed the capacity.
+///   The level drops at once to where the estimated demand fits.
+/// - *overload*: there is a standing queue. The level is lowered in proportion
+///   to the arrivals beyond the capacity; if there are none, the queue drains
+///   by itself.
+/// - otherwise the level rises to where the estimated demand fits, and further
+///   in proportion to the free slots.
 #[derive(Debug)]
 pub struct Controller {
     arrivals: Vec<u32>,
-    recent: [Recent; RECENT],
+    recent: [WindowCount; RATE_WINDOWS],
     demand: [Option<f64>; RANKS],
     level: f64,
     applied: Option<f64>,
     applied_sum: f64,
-    heard: u32,
-    window: Millis,
-    jumped: Millis,
+    arrival_count: u32,
+    window_start: Millis,
+    last_cut: Millis,
 }
 
-/// What came in a window, and how long it was, in seconds.
+/// The number of arrivals in a window and its length in seconds.
 #[derive(Clone, Copy, Debug, Default)]
-struct Recent {
+struct WindowCount {
     count: f64,
-    span: f64,
+    secs: f64,
 }
 
 impl Default for Controller {
@@ -244,242 +231,265 @@
 }
 
 impl Controller {
-    /// A controller with an open level.
+    /// Creates a controller with an open level.
     pub fn new() -> Controller {
         Controller {
             arrivals: vec![0; Key::COUNT],
-            recent: [Recent::default(); RECENT],
+            recent: [WindowCount::default(); RATE_WINDOWS],
             demand: [None; RANKS],
             level: Key::COUNT as f64,
             applied: None,
             applied_sum: 0.0,
-            heard: 0,
-            window: Millis(0),
-            jumped: Millis(0),
+            arrival_count: 0,
+            window_start: Millis(0),
+            last_cut: Millis(0),
         }
     }
 
-    /// Counts a call that arrived, whatever becomes of it. `applied` is the
-    /// level of this service that its sender knows.
-    pub fn arrived(&mut self, key: Key, applied: Level) {
+    /// Counts an arriving call, whether or not it is admitted. `applied` is
+    /// the level of this service that the sender enforces.
+    pub fn record_arrival(&mut self, key: Key, applied: Level) {
         self.arrivals[key.index()] += 1;
         self.applied_sum += f64::from(applied.0);
-        self.heard += 1;
+        self.arrival_count += 1;
     }
 
-    /// The level in force.
+    /// Returns the current level.
     pub fn level(&self) -> Level {
         Level(self.level as u16)
     }
 
-    /// True if the queue overflows and the window may end early.
-    pub fn is_pressed(&self, now: Millis) -> bool {
-        now.since(self.window) >= SHORTEST
+    /// Returns true if the current window has its minimum length and may end
+    /// early because the queue overflows.
+    pub fn may_end_window_early(&self, now: Millis) -> bool {
+        now.since(self.window_start) >= MIN_WINDOW
     }
 
-    /// When the window ends.
+    /// Returns when the current window ends.
     pub fn next_wake(&self) -> Millis {
-        self.window + WINDOW
+        self.window_start + WINDOW
     }
 
     /// Ends a window. Returns true if the level changed.
     pub fn tick(&mut self, now: Millis, sample: Sample) -> bool {
-        self.window = now;
-        self.measure(sample.span.max(0.001));
+        self.window_start = now;
+        self.measure_demand(sample.window_secs.max(0.001));
         let before = self.level();
-        let standing = sample.standing as f64 / sample.capacity.max(1.0);
-        if standing > STANDING {
+        let queue_secs = sample.min_queued as f64 / sample.capacity.max(1.0);
+        if queue_secs > STANDING_QUEUE_SECS {
             self.lower(now, &sample);
         } else if before < Level::OPEN {
             self.raise(now, &sample);
         }
-        self.bound();
+        self.clamp_level();
         self.level() != before
     }
 
-    /// Lowers the level, but never below where the known demand fits: what
-    /// still arrives beyond that was sent before the callers heard.
+    /// Lowers the level, but not below where the estimated demand fits:
+    /// arrivals beyond that were sent before the callers received the new
+    /// level.
     fn lower(&mut self, now: Millis, sample: &Sample) {
-        let fits = self.fit(sample.capacity, 0.0).min(self.level);
-        if self.floods(sample.capacity) {
-            self.level = fits;
-            self.jumped = now;
+        let fitting_level =
+            self.level_for_rate(sample.capacity, 0.0).min(self.level);
+        if self.is_flooded(sample.capacity) {
+            self.level = fitting_level;
+            self.last_cut = now;
             return;
         }
-        // A queue that only holds what came before drains by itself.
+        // With no excess arrivals the queue drains by itself.
         let over = self.recent_rate() - sample.capacity;
-        self.shift(-over.max(0.0), sample);
-        self.level = self.level.max(fits);
+        self.shift_by_rate(-over.max(0.0), sample);
+        self.level = self.level.max(fitting_level);
     }
 
-    /// Raises the level: most of the way to where the known demand fits,
-    /// then by what the free places are worth.
+    /// Raises the level towards where the estimated demand fits, and further
+    /// in proportion to the free slots.
     fn raise(&mut self, now: Millis, sample: &Sample) {
-        self.align(now);
-        let unknown = sample.capacity * UNKNOWN;
-        let fits = self.fit(sample.capacity * FILL, unknown);
-        if self.level < fits {
-            // And on: creeping towards a fit that is itself too low, because
-            // the demand is down, kept a class shut for seconds.
-            self.level += (fits - self.level) * APPROACH;
+        self.align_with_applied(now);
+        let unknown = sample.capacity * UNSEEN_DEMAND_FACTOR;
+        let fitting_level =
+            self.level_for_rate(sample.capacity * TARGET_UTILIZATION, unknown);
+        if self.level < fitting_level {
+            // The fit may be too low while demand is low, so the raises below
+            // apply as well.
+            self.level += (fitting_level - self.level) * RAISE_GAIN;
         }
-        let spare = (FILL - sample.busy) * sample.capacity;
-        self.shift(spare.max(0.0), sample);
-        self.level += bet(sample.busy);
+        let spare =
+            (TARGET_UTILIZATION - sample.utilization) * sample.capacity;
+        self.shift_by_rate(spare.max(0.0), sample);
+        self.level += idle_raise(sample.utilization);
     }
 
-    /// True if the last windows brought more than chance explains.
-    fn floods(&self, capacity: f64) -> bool {
-        let last = &self.recent[..FLOOD_WINDOWS];
-        let span: f64 = last.iter().map(|r| r.span).sum();
-        let came: f64 = last.iter().map(|r| r.count).sum();
-        let expected = capacity * span;
-        came > expected + FLOOD * expected.sqrt()
+    /// Returns true if recent arrivals exceed the capacity by more than chance
+    /// explains.
+    fn is_flooded(&self, capacity: f64) -> bool {
+        let windows = &self.recent[..FLOOD_WINDOWS];
+        let secs: f64 = windows.iter().map(|r| r.secs).sum();
+        let arrived: f64 = windows.iter().map(|r| r.count).sum();
+        let expected = capacity * secs;
+        arrived > expected + FLOOD_STD_DEVS * expected.sqrt()
     }
 
-    /// Calls a second that arrived lately.
+    /// Returns the recent arrival rate in calls per second.
     fn recent_rate(&self) -> f64 {
-        let span: f64 = self.recent.iter().map(|r| r.span).sum();
-        let came: f64 = self.recent.iter().map(|r| r.count).sum();
-        came / span.max(0.001)
+        let secs: f64 = self.recent.iter().map(|r| r.secs).sum();
+        let arrived: f64 = self.recent.iter().map(|r| r.count).sum();
+        arrived / secs.max(0.001)
     }
 
-    /// Takes the window's arrivals into the demand of each rank.
-    fn measure(&mut self, span: f64) {
-        // A class is only as open as its callers know.
-        let heard = f64::from(self.heard);
-        self.applied = (self.heard > 0).then(|| self.applied_sum / heard);
+    /// Updates the demand estimate of each rank from the arrivals of the
+    /// window.
+    fn measure_demand(&mut self, secs: f64) {
+        // Callers may still apply a stricter level than the current one.
+        let arrivals = f64::from(self.arrival_count);
+        self.applied =
+            (self.arrival_count > 0).then(|| self.applied_sum / arrivals);
         let level = self.applied.unwrap_or(0.0).min(self.level);
-        (self.applied_sum, self.heard) = (0.0, 0);
+        (self.applied_sum, self.arrival_count) = (0.0, 0);
         let mut total = 0.0;
         for rank in 0..RANKS {
-            let first = rank * STEPS;
-            let arrived = &mut self.arrivals[first..first + STEPS];
-            total += f64::from(arrived.iter().sum::<u32>());
-            let open = (level - first as f64).clamp(0.0, STEPS as f64);
+            let first = rank * STEPS_PER_RANK;
+            let counts = &mut self.arrivals[first..first + STEPS_PER_RANK];
+            total += f64::from(counts.iter().sum::<u32>());
+            let open =
+                (level - first as f64).clamp(0.0, STEPS_PER_RANK as f64);
             let open = open as usize;
-            let count: u32 = arrived[..open].iter().sum();
-            arrived.fill(0);
-            let part = open as f64 / STEPS as f64;
+            let count: u32 = counts[..open].iter().sum();
+            counts.fill(0);
+            let part = open as f64 / STEPS_PER_RANK as f64;
             let known = self.demand[rank];
-            self.demand[rank] = learn(known, count, part, span);
+            self.demand[rank] = update_demand(known, count, part, secs);
         }
         self.recent.rotate_right(1);
-        self.recent[0] = Recent { count: total, span };
+        self.recent[0] = WindowCount { count: total, secs };
     }
 
-    /// Moves towards the level that callers apply. The servers of a service
-    /// each find their own level, and callers apply the median: without this
-    /// one that is not heeded would run away from it. Soon after a jump it
-    /// only moves down: callers still apply an older level then, and moving
-    /// up was seen to undo a cut before it was heard.
-    fn align(&mut self, now: Millis) {
+    /// Moves the level towards the one applied by callers. Each server of a
+    /// service computes its own level and callers apply the median, so without
+    /// this the level of a server that differs from the median would drift
+    /// away. Shortly after a cut callers still apply an older level, so the
+    /// level then only moves down.
+    fn align_with_applied(&mut self, now: Millis) {
         let Some(applied) = self.applied else { return };
-        let settled = now.since(self.jumped) >= SETTLED;
+        let settled = now.since(self.last_cut) >= CUT_SETTLE_TIME;
         if applied < self.level || settled {
-            self.level += (applied - self.level) * ALIGN;
+            self.level += (applied - self.level) * ALIGN_GAIN;
         }
     }
 
-    /// Moves the level by a rate of calls, spread over the time in which
-    /// the change will show.
-    fn shift(&mut self, rate: f64, sample: &Sample) {
-        let response = sample.hold + LAG;
-        let mut left = rate.abs() * sample.span / response;
+    /// Moves the level by the number of steps worth the given rate of calls
+    /// per second, spread over the response time of the control loop.
+    fn shift_by_rate(&mut self, rate: f64, sample: &Sample) {
+        let response = sample.hold_secs + RESPONSE_DELAY_SECS;
+        let mut left = rate.abs() * sample.window_secs / response;
         let up = rate > 0.0;
-        while left > 0.0 && self.level > 0.0 && self.level < FULL {
-            let room = self.room(up);
+        while left > 0.0 && self.level > 0.0 && self.level < OPEN_LEVEL {
+            let steps_left = self.steps_left(up);
             let rank = self.rank(up);
             let known = self.demand[rank];
-            let demand = known.unwrap_or(sample.capacity * UNKNOWN);
-            let worth = demand.max(MEASURABLE) * room / STEPS as f64;
-            let moved = room * (left / worth).min(1.0);
+            let demand =
+                known.unwrap_or(sample.capacity * UNSEEN_DEMAND_FACTOR);
+            let worth = demand.max(DEMAND_RATE_MIN) * steps_left
+                / STEPS_PER_RANK as f64;
+            let moved = steps_left * (left / worth).min(1.0);
             self.level += if up { moved } else { -moved };
             left -= worth;
         }
     }
 
-    /// The rank that the level would move through.
+    /// Returns the rank that the level moves through in this direction.
     fn rank(&self, up: bool) -> usize {
-        let steps = STEPS as f64;
+        let steps = STEPS_PER_RANK as f64;
         let at = self.level / steps;
         let rank = if up { at.floor() } else { at.ceil() - 1.0 };
         (rank.max(0.0) as usize).min(RANKS - 1)
     }
 
-    /// The steps that are left in that rank.
-    fn room(&self, up: bool) -> f64 {
-        let first = (self.rank(up) * STEPS) as f64;
-        let room = match up {
-            true => first + STEPS as f64 - self.level,
+    /// Returns how many steps are left in that rank.
+    fn steps_left(&self, up: bool) -> f64 {
+        let first = (self.rank(up) * STEPS_PER_RANK) as f64;
+        let steps_left = match up {
+            true => first + STEPS_PER_RANK as f64 - self.level,
             false => self.level - first,
         };
-        room.max(f64::EPSILON)
+        steps_left.max(f64::EPSILON)
     }
 
-    /// Keeps the level between the first step of the first busy rank, or
-    /// nobody would hear of a level that reopens, and open.
-    fn bound(&mut self) {
-        let busy = |d: &Option<f64>| d.is_some_and(|d| d >= MEASURABLE);
-        let first = self.demand.iter().position(busy).unwrap_or(0);
-        let least = (first * STEPS + 1) as f64;
-        self.level = self.level.clamp(least, FULL);
-        let above = self.level as usize / STEPS;
-        let empty = |d: &Option<f64>| d.is_some_and(|d| d < MEASURABLE);
-        if self.demand[above.min(RANKS - 1)..].iter().all(empty) {
-            // Nothing is refused any more that anybody asks for.
-            self.level = FULL;
+    /// Clamps the level to at least the first step of the first rank with
+    /// demand, so that callers still reach the server and learn when the level
+    /// rises. Opens the level fully if no refused rank has demand.
+    fn clamp_level(&mut self) {
+        let has_demand =
+            |d: &Option<f64>| d.is_some_and(|d| d >= DEMAND_RATE_MIN);
+        let first = self.demand.iter().position(has_demand).unwrap_or(0);
+        let least = (first * STEPS_PER_RANK + 1) as f64;
+        self.level = self.level.clamp(least, OPEN_LEVEL);
+        let next_rank = self.level as usize / STEPS_PER_RANK;
+        let has_none =
+            |d: &Option<f64>| d.is_some_and(|d| d < DEMAND_RATE_MIN);
+        if self.demand[next_rank.min(RANKS - 1)..].iter().all(has_none) {
+            self.level = OPEN_LEVEL;
         }
     }
 
-    /// The highest level whose demand is at most this rate; classes that
-    /// were never seen are taken to bring `unknown`.
-    fn fit(&self, rate: f64, unknown: f64) -> f64 {
+    /// Returns the highest level whose estimated demand is at most `rate`.
+    /// Classes without an estimate are assumed to have a demand of `unknown`.
+    fn level_for_rate(&self, rate: f64, unknown: f64) -> f64 {
         let mut left = rate;
         for (rank, demand) in self.demand.iter().enumerate() {
             let demand = demand.unwrap_or(unknown);
             if demand > left {
-                let steps = left.max(0.0) / demand * STEPS as f64;
-                return (rank * STEPS) as f64 + steps;
+                let steps = left.max(0.0) / demand * STEPS_PER_RANK as f64;
+                return (rank * STEPS_PER_RANK) as f64 + steps;
             }
             left -= demand;
         }
-        FULL
+        OPEN_LEVEL
     }
 }
 
-/// The level that admits everything.
-const FULL: f64 = Key::COUNT as f64;
-
-/// What a window tells of a rank's demand, in calls a second, if `part` of
-/// its steps was open.
-fn learn(known: Option<f64>, count: u32, part: f64, span: f64) -> Option<f64> {
+/// The level that admits every key, as a float.
+const OPEN_LEVEL: f64 = Key::COUNT as f64;
+
+/// Returns the updated demand estimate of a rank, in calls per second, after a
+/// window in which the share `part` of its steps was open.
+fn update_demand(
+    known: Option<f64>,
+    count: u32,
+    part: f64,
+    secs: f64,
+) -> Option<f64> {
     if part == 0.0 {
-        return known.map(|demand| demand * FADE);
+        return known.map(|demand| demand * CLOSED_DEMAND_DECAY);
     }
-    let fresh = f64::from(count) / span / part;
+    let fresh = f64::from(count) / secs / part;
     let Some(old) = known else {
-        // A class that is just opening shows too little at first.
+        // A class that is just opening shows too little demand at first.
         return (part >= 1.0 || count > 0).then_some(fresh);
     };
-    let weight = if fresh > old { RISE } else { FALL };
-    let expected = old * span * part;
-    let off = (f64::from(count) - expected).abs();
-    let by_chance = off <= CHANCE * (expected.sqrt() + 1.0);
-    // A few open steps tell too little to be believed in full: a handful of
-    // calls there looked like a flood, and kept a class shut for seconds.
-    let by_chance = by_chance || part < MUCH;
-    let seen = fresh.max(old) * span * part;
-    let trust = if by_chance { seen / (seen + NOISE) } else { 1.0 };
+    let weight =
+        if fresh > old { RISING_DEMAND_WEIGHT } else { FALLING_DEMAND_WEIGHT };
+    let expected = old * secs * part;
+    let deviation = (f64::from(count) - expected).abs();
+    let by_chance = deviation <= NOISE_STD_DEVS * (expected.sqrt() + 1.0);
+    // With few open steps the estimate is too noisy for full weight.
+    let by_chance = by_chance || part < FULL_WEIGHT_OPEN_SHARE;
+    let seen = fresh.max(old) * secs * part;
+    let trust =
+        if by_chance { seen / (seen + HALF_WEIGHT_CALLS) } else { 1.0 };
     let weight = weight * trust;
     let next = old + (fresh - old) * weight;
-    // What is hardly there would otherwise take forever to be gone.
-    Some(if next < MEASURABLE { next * FADE } else { next })
+    // Negligible demand decays to zero.
+    Some(if next < DEMAND_RATE_MIN {
+        next * CLOSED_DEMAND_DECAY
+    } else {
+        next
+    })
 }
 
-/// Steps that idle places are worth, whatever demand is known: a bet that
-/// only empty places can cover.
-fn bet(busy: f64) -> f64 {
-    let idle = (1.0 - busy / IDLE).max(0.0);
-    BET * idle * idle
+/// Returns by how many steps idle slots raise the level, whatever the demand
+/// estimate.
+fn idle_raise(utilization: f64) -> f64 {
+    let idle = (1.0 - utilization / IDLE_UTILIZATION).max(0.0);
+    IDLE_RAISE_STEPS_MAX * idle * idle
 }
--- a/crates/walnutmoor-core/src/admit/view.rs
+++ b/crates/walnutmoor-core/src/admit/view.rs
@@ -1,92 +1,92 @@
-//! What a way in knows: the levels that servers last reported, and the
-//! services that each class was seen to pass.
+//! Admission state of an entry node: the levels that servers last reported,
+//! and the services on the path of each class.
 
 use serde::{Deserialize, Serialize};
 
 use super::Level;
 use crate::{
-    class::{Key, STEPS},
+    class::{Key, STEPS_PER_RANK},
     digest::Map,
     id::{self, NodeId, Service},
     time::Millis,
 };
 
-/// A level that one server's node reports.
+/// An admission level reported by the node of one server.
 ///
-/// A report is passed on with its origin and its age, never as a word of
-/// whoever passes it on. Views that passed on their own medians were tried:
-/// nodes that call each other kept an old level alive between them long
-/// after every server had opened.
+/// A report is forwarded with its origin and age, never as the level of the
+/// forwarding node. Otherwise nodes that call each other could keep an
+/// outdated level alive.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Report {
-    /// The node beside the server.
+    /// The node that reported the level.
     pub origin: NodeId,
-    /// Of which service.
+    /// The service of its backend server.
     pub service: Service,
-    /// The level; `None` if the path passes there but nothing was heard.
+    /// The level; `None` if the service is on the path but its level is not
+    /// known.
     pub level: Option<Level>,
-    /// How long ago the origin said so.
+    /// The time since the origin reported it.
     pub age: Millis,
 }
 
-/// A report older than this is no longer trusted as it stands.
-const FRESH: Millis = Millis(1_000);
+/// The age at which a report becomes stale.
+const STALE_AFTER: Millis = Millis(1_000);
 
-/// Steps by which a stale report is raised each second: silence reopens a
-/// class in about a second, a ramp and not a jump.
-const REOPEN: u64 = STEPS as u64;
+/// Steps per second by which a stale level is raised. Without new reports a
+/// class reopens gradually within about a second.
+const REOPEN_STEPS_PER_SEC: u64 = STEPS_PER_RANK as u64;
 
-/// How many reports of one service are passed on.
-const PASSED_ON: usize = 3;
+/// The maximum number of reports forwarded for one service.
+const FORWARDED_REPORTS_MAX: usize = 3;
 
-/// The most origins kept for a service; the freshest stay.
+/// The maximum number of origins kept for a service. The most recent are kept.
 const ORIGINS_MAX: usize = 8;
 
-/// The most services kept.
+/// The maximum number of services kept.
 const SERVICES_MAX: usize = 2_048;
 
-/// The most services kept on one path. The brief's chains are up to 29 deep.
+/// The maximum number of services kept on one path.
 pub const PATH_MAX: usize = 32;
 
-/// The most paths kept.
+/// The maximum number of paths kept.
 const PATHS_MAX: usize = 4_096;
 
-/// A service not seen on a path for so long is off it.
-const OFF_PATH: Millis = Millis(10_000);
+/// The time after which a service that was not called is removed from a path.
+const PATH_ENTRY_TTL: Millis = Millis(10_000);
 
 #[derive(Clone, Debug)]
-struct Heard {
+struct ReportedLevel {
     origin: NodeId,
     level: Level,
     at: Millis,
 }
 
-/// What a class meets that enters at a service, as operators see it.
+/// The admission level of a class that enters at a service, for display.
 #[derive(Clone, Debug, Serialize)]
-pub struct Way {
+pub struct PathLevel {
     /// The class.
     pub class: id::Class,
-    /// Where it enters.
+    /// The service at which it enters.
     pub entry: Service,
-    /// The strictest level on its path.
+    /// The strictest level on its path, formatted.
     pub level: String,
 }
 
-/// A way in's knowledge of levels and paths.
+/// The levels and paths that an entry node knows.
 #[derive(Debug, Default)]
 pub struct View {
-    levels: Map<Service, Vec<Heard>>,
+    levels: Map<Service, Vec<ReportedLevel>>,
     paths: Map<(id::Class, Service), Vec<(Service, Millis)>>,
 }
 
 impl View {
-    /// Knows nothing: everything is open.
+    /// Creates an empty view, in which every level is open.
     pub fn new() -> View {
         View::default()
     }
 
-    /// Takes a report.
-    pub fn hear(&mut self, now: Millis, report: &Report) {
+    /// Records a level reported by a server's node.
+    pub fn record_report(&mut self, now: Millis, report: &Report) {
         let Some(level) = report.level else { return };
         let known = self.levels.len();
         if known >= SERVICES_MAX && !self.levels.contains_key(&report.service)
@@ -96,39 +96,40 @@
         let list = self.levels.entry(report.service.clone()).or_default();
         let origin = report.origin;
         let at = Millis(now.0.saturating_sub(report.age.0));
-        let heard = Heard { origin, level, at };
+        let reported = ReportedLevel { origin, level, at };
         if let Some(old) = list.iter_mut().find(|h| h.origin == origin) {
             if old.at <= at {
-                *old = heard;
+                *old = reported;
             }
         } else if list.len() < ORIGINS_MAX {
-            list.push(heard);
+            list.push(reported);
         } else if let Some(old) = list.iter_mut().min_by_key(|h| h.at) {
-            *old = heard;
+            *old = reported;
         }
     }
 
-    /// The level of one service: the median of what its servers say, for a
-    /// request may reach any of them and one that stands apart must not
-    /// decide. Silence reopens it on a ramp.
+    /// Returns the level of a service: the median of the levels that its
+    /// servers reported recently, so that a single outlier has no effect. If
+    /// all reports are stale, the latest one is raised gradually.
     pub fn level(&self, now: Millis, service: &Service) -> Level {
         let Some(list) = self.levels.get(service) else {
             return Level::OPEN;
         };
-        let fresh = list.iter().filter(|h| now.since(h.at) < FRESH);
+        let fresh = list.iter().filter(|h| now.since(h.at) < STALE_AFTER);
         let mut fresh: Vec<Level> = fresh.map(|h| h.level).collect();
         if fresh.is_empty() {
             let last = list.iter().max_by_key(|h| h.at);
-            return last.map_or(Level::OPEN, |h| aged(h, now));
+            return last.map_or(Level::OPEN, |h| reopened(h, now));
         }
         fresh.sort();
-        // Of two, the higher: a server that has room takes the call, and the
-        // queue of one that has not gives up from the bottom.
+        // Of an even number the higher median is taken: the load balancer can
+        // use the server with room, and the queue of the other evicts its
+        // lowest-ranked calls.
         fresh[fresh.len() / 2]
     }
 
-    /// Notes that a class entering at one service also passed another.
-    pub fn pass(
+    /// Records that a class entering at `entry` also calls `passed`.
+    pub fn record_path(
         &mut self,
         now: Millis,
         class: &id::Class,
@@ -144,72 +145,73 @@
             old.1 = now;
             return;
         }
-        list.retain(|(_, at)| now.since(*at) < OFF_PATH);
+        list.retain(|(_, at)| now.since(*at) < PATH_ENTRY_TTL);
         if list.len() < PATH_MAX {
             list.push((passed.clone(), now));
         }
     }
 
-    /// The strictest level for a class that enters at a service.
-    pub fn strictest(
+    /// Returns the strictest level on the path of a class that enters at a
+    /// service.
+    pub fn strictest_level(
         &self,
         now: Millis,
         class: &id::Class,
         entry: &Service,
     ) -> Level {
-        let own = self.level(now, entry);
+        let own_level = self.level(now, entry);
         let path = (class.clone(), entry.clone());
-        let Some(list) = self.paths.get(&path) else { return own };
-        let recent = |at: &Millis| now.since(*at) < OFF_PATH;
+        let Some(list) = self.paths.get(&path) else { return own_level };
+        let recent = |at: &Millis| now.since(*at) < PATH_ENTRY_TTL;
         list.iter()
             .filter(|(_, at)| recent(at))
             .map(|(service, _)| self.level(now, service))
-            .fold(own, Level::min)
+            .fold(own_level, Level::min)
     }
 
-    /// The freshest reports of a service that this node calls, to be passed
-    /// on: enough for a median.
+    /// Returns the most recent reports of a service that this node calls, to
+    /// be forwarded to its own callers.
     pub fn reports(&self, now: Millis, service: &Service) -> Vec<Report> {
         let list = self.levels.get(service).map_or(&[][..], |list| list);
-        let fresh = list.iter().filter(|h| now.since(h.at) < FRESH);
-        let mut fresh: Vec<&Heard> = fresh.collect();
+        let fresh = list.iter().filter(|h| now.since(h.at) < STALE_AFTER);
+        let mut fresh: Vec<&ReportedLevel> = fresh.collect();
         fresh.sort_by_key(|h| std::cmp::Reverse(h.at));
-        fresh.truncate(PASSED_ON);
-        let report = |heard: &&Heard| Report {
-            origin: heard.origin,
+        fresh.truncate(FORWARDED_REPORTS_MAX);
+        let report = |reported: &&ReportedLevel| Report {
+            origin: reported.origin,
             service: service.clone(),
-            level: Some(heard.level),
-            age: now.since(heard.at),
+            level: Some(reported.level),
+            age: now.since(reported.at),
         };
         fresh.iter().map(report).collect()
     }
 
-    /// The level of each path that was seen lately, in order.
-    pub fn ways(&self, now: Millis) -> Vec<Way> {
-        let mut ways: Vec<Way> = self
+    /// Returns the level of each known path, sorted by class and entry.
+    pub fn path_levels(&self, now: Millis) -> Vec<PathLevel> {
+        let mut levels: Vec<PathLevel> = self
             .paths
             .keys()
-            .map(|(class, entry)| Way {
+            .map(|(class, entry)| PathLevel {
                 class: class.clone(),
                 entry: entry.clone(),
-                level: self.strictest(now, class, entry).to_string(),
+                level: self.strictest_level(now, class, entry).to_string(),
             })
             .collect();
-        ways.sort_by(|a, b| (&a.class, &a.entry).cmp(&(&b.class, &b.entry)));
-        ways
+        levels.sort_by(|a, b| (&a.class, &a.entry).cmp(&(&b.class, &b.entry)));
+        levels
     }
 
-    /// How long a refused request should stay away: until the level would
-    /// reach its key at the pace at which levels reopen.
-    pub fn distance(&self, level: Level, key: Key) -> Millis {
+    /// Returns the retry delay for a refused request: the time until the level
+    /// would reach its key at the rate at which stale levels reopen.
+    pub fn retry_delay(&self, level: Level, key: Key) -> Millis {
         let steps = key.index().saturating_sub(usize::from(level.0)) as u64;
-        let steps = steps.min(2 * STEPS as u64);
-        Millis(FRESH.0 / 4 + steps * 1_000 / REOPEN)
+        let steps = steps.min(2 * STEPS_PER_RANK as u64);
+        Millis(STALE_AFTER.0 / 4 + steps * 1_000 / REOPEN_STEPS_PER_SEC)
     }
 }
 
-fn aged(heard: &Heard, now: Millis) -> Level {
-    let stale = now.since(heard.at).since(FRESH);
-    let steps = stale.0 * REOPEN / 1_000;
-    heard.level.raised(steps.min(u64::from(u16::MAX)) as u16)
+fn reopened(reported: &ReportedLevel, now: Millis) -> Level {
+    let stale = now.since(reported.at).since(STALE_AFTER);
+    let steps = stale.0 * REOPEN_STEPS_PER_SEC / 1_000;
+    reported.level.raised(steps.min(u64::from(u16::MAX)) as u16)
 }
--- a/crates/walnutmoor-core/src/call.rs
+++ b/crates/walnutmoor-core/src/call.rs
@@ -1,11 +1,11 @@
 /*!
-Calls as nodes pass them on: the envelope on the way in, the trailer on the
-way back.
+The metadata of calls between nodes: an envelope with the call and a trailer
+with the response.
 
-An [`Envelope`] carries everything that a hop needs to decide as the hop
-before did: the key drawn at the way in, the time left, the retries left. A
-[`Trailer`] carries back what the way in must learn: loads, levels and unspent
-retries. Both travel in one header as postcard, next to the body of the call.
+An [`Envelope`] carries what each hop needs to decide consistently: the key
+drawn at the entry node, the time left and the retries left. A [`Trailer`]
+returns load, admission levels and unspent retries. Each travels in one header,
+encoded as postcard, next to the body of the call.
 
 # Example
 
@@ -32,12 +32,12 @@
     time::Millis,
 };
 
-/// A call from a caller, or from this node's own backend server.
+/// A call from an external caller or from this node's own backend server.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Arrival {
-    /// Its number in this node.
+    /// Its id in this node.
     pub call: CallId,
-    /// The service it is for.
+    /// The service it calls.
     pub service: Service,
     /// The class it names, if any.
     #[serde(default)]
@@ -45,22 +45,22 @@
     /// The caller's id for the whole request, if any.
     #[serde(default)]
     pub request: Option<Request>,
-    /// Which attempt of the caller this is, from 1.
+    /// The number of the caller's attempt, from 1.
     #[serde(default = "first")]
     pub attempt: u32,
-    /// The time left, if the caller names one.
+    /// The time until the deadline, if the caller gives one.
     #[serde(default)]
     pub left: Option<Millis>,
-    /// The ticket, for a class that runs at most once.
+    /// The ticket, if its class runs at most once.
     #[serde(default)]
     pub ticket: Option<Ticket>,
     /// The number of this step under its parent's ticket.
     #[serde(default)]
     pub step: Option<u32>,
-    /// The call that the backend server runs and makes this one for.
+    /// The call in progress at the backend server that makes this one.
     #[serde(default)]
     pub parent: Option<CallId>,
-    /// Tells this call's method, path and body from those of others.
+    /// A digest that identifies its method, path and body.
     #[serde(default)]
     pub fingerprint: u64,
 }
@@ -69,81 +69,82 @@
     1
 }
 
-/// For which part of the way a node gets a call from a peer.
+/// The role in which a node receives a call from a peer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub enum Leg {
-    /// To run it as the owner of its ticket.
+pub enum Role {
+    /// As owner of the ticket.
     Owner,
-    /// To run it on its backend server.
+    /// In front of its backend server.
     Server,
 }
 
-/// What travels with a call from node to node.
+/// The metadata of a call from node to node.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Envelope {
-    /// What the receiver is asked to be.
-    pub leg: Leg,
-    /// The service called.
+    /// The role of the receiver.
+    #[serde(rename = "leg")]
+    pub role: Role,
+    /// The called service.
     pub service: Service,
-    /// The service that calls, if it is a deeper call.
+    /// The calling service, if this is a nested call.
     pub from: Option<Service>,
     /// The class of the whole request.
     pub class: id::Class,
     /// The kind of that class.
     pub kind: Kind,
-    /// The key drawn at the way in.
+    /// The key drawn at the entry node.
     pub key: Key,
-    /// The whole request.
+    /// The id of the whole request.
     pub request: Request,
-    /// The time left.
+    /// The time until the deadline.
     pub left: Millis,
-    /// The retries left for this call and those below it.
+    /// The retries left for this call and its nested calls.
     pub budget: Budget,
     /// The ticket, if the call runs at most once.
     pub ticket: Option<Ticket>,
-    /// The life of the node that it is sent to: what was sent to a former
-    /// life must not run in a later one.
+    /// The incarnation of the receiver. A call sent to an earlier incarnation
+    /// must not run in a later one.
     pub target: Incarnation,
-    /// How often the owner has sent this ticket's call, from 1; tells a new
-    /// try from one that the network doubled.
+    /// How often the owner has sent the call of this ticket, from 1.
+    /// Distinguishes a retry from a duplicate delivery.
     pub send: u32,
-    /// The configuration that the call was admitted under.
+    /// The configuration revision under which the call was admitted.
     pub revision: Revision,
-    /// The level of the service called that the sender knows.
+    /// The level of the called service that the sender enforces.
     pub applied: admit::Level,
-    /// How many calls deep this one is, from 0.
+    /// The nesting depth of this call, from 0.
     pub depth: u8,
-    /// Tells calls apart.
+    /// A digest that identifies the content of the call.
     pub fingerprint: u64,
 }
 
-/// The deepest chain. The brief's are up to 29 deep.
+/// The maximum nesting depth.
 pub const DEPTH_MAX: u8 = 32;
 
-/// What travels back with an answer.
+/// The metadata returned with a response.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Trailer {
-    /// The load of the server's node.
+    /// The load of the node that ran the call.
     pub load: Option<Load>,
-    /// Levels of the services on the path.
+    /// Admission levels of the services on the path.
     pub reports: Vec<admit::Report>,
-    /// Retries that were handed down and not spent.
+    /// Retries that were passed on and not spent.
     pub unspent: u8,
-    /// The refusal, if a node and not the backend server answers.
+    /// The refusal, if a node refused the call.
     pub refusal: Option<Refusal>,
-    /// The configuration that the answering node has in force.
+    /// The configuration revision in force at the responding node.
     pub revision: Revision,
 }
 
-macro_rules! wire {
+macro_rules! impl_codec {
     ($name:ident) => {
         impl $name {
-            /// The bytes that travel.
+            /// Encodes it as postcard.
             pub fn encode(&self) -> Vec<u8> {
                 encode(self)
             }
 
-            /// Reads the bytes that travelled; `None` if they are broken.
+            /// Decodes it from postcard; `None` if the bytes are invalid.
             pub fn decode(bytes: &[u8]) -> Option<$name> {
                 decode(bytes)
             }
@@ -151,23 +152,24 @@
     };
 }
 
-wire!(Envelope);
-wire!(Trailer);
+impl_codec!(Envelope);
+impl_codec!(Trailer);
 
 pub(crate) fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    postcard::to_stdvec(value).expect("plain data serializes")
+    postcard::to_stdvec(value).expect("call metadata serializes")
 }
 
 pub(crate) fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     postcard::from_bytes(bytes).ok()
 }
 
-/// How a call that was sent on came back.
+/// The result of a forwarded call.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reply {
-    /// A whole answer of a backend server.
-    Whole {
+    /// A complete response of a backend server.
+    #[serde(rename = "whole")]
+    Complete {
         /// Its HTTP status.
         status: u16,
         /// The length of its body, in bytes.
@@ -179,21 +181,22 @@
     Refused {
         /// The refusal.
         refusal: Refusal,
-        /// That node's trailer.
+        /// The trailer of that node.
         trailer: Trailer,
     },
-    /// It was never sent: the connection was refused.
+    /// It was not sent: the connection was refused.
     Unreachable,
-    /// It was sent, but no whole answer came.
+    /// It was sent, but no complete response arrived.
     Broken,
 }
 
-/// An HTTP status by which backend servers say that they are overloaded.
+/// Returns true if this HTTP status of a backend server means that it is
+/// overloaded.
 pub fn is_overload(status: u16) -> bool {
     matches!(status, 429 | 503)
 }
 
-/// An HTTP status that counts as an error of the server.
+/// Returns true if this HTTP status counts as a server error.
 pub fn is_error(status: u16) -> bool {
     status >= 500
 }
--- a/crates/walnutmoor-core/src/class.rs
+++ b/crates/walnutmoor-core/src/class.rs
@@ -1,14 +1,15 @@
 /*!
-Classes of work: what operators name, and the order of refusal that follows.
+Traffic classes and the priority order derived from them.
 
-An operator gives a class a name, a kind and a target, never a weight. The
-kind comes first (work that runs once, then browsing, then internal lookups),
-then the target: the larger share to be completed, then the shorter time.
+An operator gives a class a name, a kind and a target instead of a weight.
+Classes are ranked by kind first (non-idempotent work, then browsing, then
+internal lookups), then by target: the larger share of completed requests, then
+the shorter time.
 
-A request's [`Key`] is its class's [`Rank`] and a few bits of a hash of its
-request id. A smaller key is more important. The key is drawn once, at the
-way in, and travels with the request, so the same requests survive at every
-hop.
+The [`Key`] of a request is the [`Rank`] of its class and a few bits of a hash
+of its request id. A smaller key has higher priority. The key is drawn once at
+the entry node and travels with the request, so every hop favors the same
+requests.
 
 # Example
 
@@ -32,7 +33,7 @@
     time::Millis,
 };
 
-/// What sort of work a class stands for.
+/// The kind of work in a class.
 #[derive(
     Clone,
     Copy,
@@ -49,14 +50,14 @@
 pub enum Kind {
     /// Non-idempotent: dispatches, claims, reservations, orders.
     Once,
-    /// Idempotent work that a person waits for.
+    /// Idempotent work that a user waits for.
     Browse,
-    /// Idempotent work that services do on their own.
+    /// Idempotent work that services do in the background.
     Internal,
 }
 
 impl Kind {
-    /// The name used in settings, answers and metric labels.
+    /// Returns the name used in settings, answers and metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
             Kind::Once => "once",
@@ -102,7 +103,7 @@
 pub struct Share(u16);
 
 impl Share {
-    /// The share in tenths of a percent.
+    /// Returns the share in tenths of a percent.
     pub fn per_mille(self) -> u16 {
         self.0
     }
@@ -145,46 +146,47 @@
     }
 }
 
-/// What an operator asks of a class: a share completed within a time.
+/// The service level objective of a class: a share of requests completed
+/// within a time.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
     /// The share of requests to complete.
     pub share: Share,
-    /// Within how long, in milliseconds.
+    /// The time to complete them in, in milliseconds.
     pub within: Millis,
 }
 
-/// A class of work.
+/// A traffic class.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
     /// Its name.
     pub name: id::Class,
-    /// What sort of work it is.
+    /// The kind of its work.
     pub kind: Kind,
-    /// What is asked of it.
+    /// Its target.
     pub target: Target,
 }
 
 impl Class {
-    /// The class of calls that backend servers start on their own.
+    /// Returns the class of calls that backend servers start on their own.
     pub fn internal() -> Class {
         Class {
-            name: "internal".parse().expect("a legal name"),
+            name: "internal".parse().expect("a valid class name"),
             kind: Kind::Internal,
             target: Target { share: Share(500), within: Millis(10_000) },
         }
     }
 
-    fn order(&self) -> (Kind, u16, Millis, &id::Class) {
+    fn priority(&self) -> (Kind, u16, Millis, &id::Class) {
         let target = &self.target;
-        let unmet = 1000 - target.share.0;
-        (self.kind, unmet, target.within, &self.name)
+        let failure_share = 1000 - target.share.0;
+        (self.kind, failure_share, target.within, &self.name)
     }
 }
 
-/// The place of a class in the order of refusal; 0 is refused last.
+/// The priority of a class; 0 is refused last.
 #[derive(
     Clone,
     Copy,
@@ -201,16 +203,15 @@
 #[serde(transparent)]
 pub struct Rank(pub u8);
 
-/// How many ranks there are. Classes beyond them share the last one.
+/// The number of ranks. Classes beyond them share the last one.
 pub const RANKS: usize = 32;
 
-/// How many steps an admission level can take inside one rank.
-///
-/// 256 steps make a level as fine as 0.4% of one class. With 64, one step of
-/// a browse class in a tenfold storm was a fifth of a server's capacity.
-pub const STEPS: usize = 256;
+/// The number of admission steps within one rank, which sets the finest share
+/// of a class that a level can refuse.
+pub const STEPS_PER_RANK: usize = 256;
 
-/// The order of refusal inside one bottleneck; smaller is refused later.
+/// The priority of a request: its rank and a step within the rank. A smaller
+/// key is refused later.
 #[derive(
     Clone,
     Copy,
@@ -228,28 +229,29 @@
 pub struct Key(pub u16);
 
 impl Key {
-    /// One more than the largest key.
-    pub const COUNT: usize = RANKS * STEPS;
+    /// The number of keys.
+    pub const COUNT: usize = RANKS * STEPS_PER_RANK;
 
-    /// The key of a rank and a step inside it. Both are capped.
+    /// Returns the key of a rank and a step within it, both capped at their
+    /// maximum.
     pub fn new(rank: Rank, step: u8) -> Key {
         let rank = usize::from(rank.0).min(RANKS - 1);
-        let step = usize::from(step).min(STEPS - 1);
-        Key((rank * STEPS + step) as u16)
+        let step = usize::from(step).min(STEPS_PER_RANK - 1);
+        Key((rank * STEPS_PER_RANK + step) as u16)
     }
 
-    /// The key of a request in a class of this rank.
+    /// Returns the key of a request in a class of this rank.
     pub fn of(rank: Rank, request: &Request) -> Key {
-        let step = digest::of(request.as_str()) % STEPS as u64;
+        let step = digest::of(request.as_str()) % STEPS_PER_RANK as u64;
         Key::new(rank, step as u8)
     }
 
-    /// The rank in this key.
+    /// Returns the rank of this key.
     pub fn rank(self) -> Rank {
-        Rank((usize::from(self.0) / STEPS) as u8)
+        Rank((usize::from(self.0) / STEPS_PER_RANK) as u8)
     }
 
-    /// The key as an index below [`Key::COUNT`].
+    /// Returns the key as an index below [`Key::COUNT`].
     pub fn index(self) -> usize {
         usize::from(self.0).min(Key::COUNT - 1)
     }
@@ -257,17 +259,17 @@
 
 impl fmt::Display for Key {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let step = usize::from(self.0) % STEPS;
+        let step = usize::from(self.0) % STEPS_PER_RANK;
         write!(f, "{}/{}", self.rank().0, step)
     }
 }
 
-/// Ranks classes: the most important first.
+/// Ranks classes by priority, highest first.
 pub fn rank<'a>(
     classes: impl Iterator<Item = &'a Class>,
 ) -> impl Iterator<Item = (&'a Class, Rank)> {
     let mut sorted: Vec<&Class> = classes.collect();
-    sorted.sort_by(|a, b| a.order().cmp(&b.order()));
+    sorted.sort_by(|a, b| a.priority().cmp(&b.priority()));
     let last = RANKS - 1;
     sorted
         .into_iter()
--- a/crates/walnutmoor-core/src/error.rs
+++ b/crates/walnutmoor-core/src/error.rs
@@ -1,6 +1,5 @@
 /*!
-The closed list of reasons for which a request is refused, and the table
-from each to the answer that a caller gets.
+Reasons for refusing a request, and the HTTP status for each.
 
 # Example
 
@@ -26,9 +25,9 @@
 pub enum Ran {
     /// It was not run, and this attempt never will be.
     No,
-    /// It was run; the answer was lost or is no longer kept.
+    /// It was run, but the answer was lost or is no longer kept.
     Yes,
-    /// Nobody can tell. A non-idempotent request is never run again.
+    /// It is unknown. A non-idempotent request is never run again.
     Unknown,
 }
 
@@ -45,15 +44,15 @@
         }
 
         impl Kind {
-            /// Every kind, in the order of the table.
+            /// All kinds, in order of declaration.
             pub const ALL: &[Kind] = &[$(Kind::$name,)*];
 
-            /// The HTTP status that a caller sees.
+            /// Returns the HTTP status sent to the caller.
             pub fn status(self) -> u16 {
                 match self { $(Kind::$name => $status,)* }
             }
 
-            /// The name used in answers and as a metric label.
+            /// Returns the name used in answers and as a metric label.
             pub fn as_str(self) -> &'static str {
                 match self { $(Kind::$name => $text,)* }
             }
@@ -73,65 +72,67 @@
 }
 
 kinds! {
-    /// A part of the request could not be understood.
+    /// Part of the request could not be parsed.
     Malformed = ("malformed", 400),
     /// The body is longer than the settings allow.
     TooLarge = ("too_large", 413),
     /// The head is longer than the settings allow.
     HeadTooLarge = ("head_too_large", 431),
-    /// No class of that name is in force.
+    /// No class of that name exists.
     UnknownClass = ("unknown_class", 404),
     /// No backend server of that service is known.
     UnknownService = ("unknown_service", 404),
-    /// The class runs at most once, and the call named no ticket.
+    /// The class runs at most once, and the call has no ticket.
     TicketRequired = ("ticket_required", 428),
     /// The ticket was never issued by the node that it names.
     TicketForged = ("ticket_forged", 400),
-    /// The ticket was used before for another call.
+    /// The ticket was already used for a different call.
     TicketReused = ("ticket_reused", 409),
-    /// The ticket is past its expiry.
+    /// The ticket has expired.
     TicketExpired = ("ticket_expired", 410),
-    /// The call did run, but its answer is no longer kept.
+    /// The call ran, but its answer is no longer kept.
     AnswerGone = ("answer_gone", 410),
-    /// The node cannot keep more tickets, marks or calls.
+    /// The node has reached its limit of tickets, marks or calls.
     Full = ("full", 503),
-    /// Admission control: the class and request rank too low for now.
+    /// Refused by admission control, because of its class and key.
     Overloaded = ("overloaded", 503),
-    /// A queue had to give up its lowest-ranked entry.
+    /// The call was evicted from a full queue.
     Evicted = ("evicted", 503),
-    /// The entry waited as long as a queue lets one wait.
+    /// The call waited in a queue for the maximum wait.
     Queued = ("queued", 503),
     /// The deadline has passed or cannot be met.
     Deadline = ("deadline", 504),
-    /// The whole request has spent its attempts.
+    /// The retry budget of the request is spent.
     Budget = ("budget", 429),
-    /// The backend server is leaving and takes no new work.
+    /// The backend server is draining and takes no new calls.
     Leaving = ("leaving", 503),
     /// No backend server could be reached.
     Unreachable = ("unreachable", 503),
-    /// A peer or backend server broke off or sent half an answer.
+    /// A peer or backend server closed the connection or sent an incomplete
+    /// response.
     Broken = ("broken", 502),
-    /// The caller went away.
+    /// The caller canceled the request.
     Canceled = ("canceled", 499),
-    /// This node has not yet heard a configuration.
+    /// This node has not received a configuration yet.
     Starting = ("starting", 503),
-    /// The owner of the ticket is silent; the witness settled the matter.
+    /// The owner of the ticket is unreachable; its witness decided the
+    /// outcome.
     OwnerSilent = ("owner_silent", 503),
-    /// The witness of the ticket does not answer.
+    /// The witness of the ticket does not respond.
     WitnessSilent = ("witness_silent", 503),
-    /// The change was based on another revision than the one in force.
+    /// The change was based on a revision that is no longer in force.
     Conflict = ("conflict", 412),
     /// No route matches the request.
     NoRoute = ("no_route", 404),
     /// The route's timeout has passed; the instance may still run it.
     Timeout = ("timeout", 504),
-    /// Its content has ended the instances that ran it.
+    /// Requests with this content have crashed the instances that ran them.
     Poisoned = ("poisoned", 503),
-    /// The key is missing, or no account in force holds it.
+    /// The API key is missing, or no account has it.
     UnknownKey = ("unknown_key", 401),
-    /// It bears no key, like an instance's own call, and no run here made it.
+    /// The request has no API key, and no call in progress here made it.
     Orphaned = ("orphaned", 503),
-    /// The account has used up its quota for now.
+    /// The account has exhausted its quota.
     OverQuota = ("over_quota", 429),
     /// The platform did not answer in time.
     PlatformDown = ("platform_down", 503),
@@ -143,32 +144,33 @@
     }
 }
 
-/// The final answer to a request that is given up.
+/// The refusal of a request.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub kind: Kind,
     /// Whether the work was run.
     pub ran: Ran,
-    /// When to come back; `None` if coming back does not help.
+    /// How long to wait before retrying; `None` if a retry cannot help.
     pub retry_after: Option<Millis>,
 }
 
 impl Refusal {
-    /// A refusal after which coming back does not help.
+    /// Creates a refusal for which a retry cannot help.
     pub fn new(kind: Kind, ran: Ran) -> Refusal {
         Refusal { kind, ran, retry_after: None }
     }
 
-    /// Tells the caller when to come back.
+    /// Sets how long the caller should wait before retrying.
     pub fn retry_after(mut self, span: Millis) -> Refusal {
         self.retry_after = Some(span);
         self
     }
 
-    /// True if another backend server may be asked at no risk and no cost:
-    /// the work was not run because this server is going away.
-    pub fn is_free_to_move(&self) -> bool {
+    /// Returns true if the call can be retried transparently on another
+    /// backend server: it was not run because this server is draining or
+    /// unreachable.
+    pub fn allows_transparent_retry(&self) -> bool {
         self.ran == Ran::No
             && matches!(self.kind, Kind::Leaving | Kind::Unreachable)
     }
--- a/crates/walnutmoor-core/src/gate.rs
+++ b/crates/walnutmoor-core/src/gate.rs
@@ -1,11 +1,11 @@
 /*!
-What stands in front of one backend server: the limit, the queue and the
-level controller, composed.
+Admission in front of one backend server: the concurrency limit, the queue and
+the level controller combined.
 
-A call is offered; it starts, waits or is refused. Each call that finishes
-makes room for the next. Calls whose deadline can no longer be met leave the
-queue at once, judged by the fastest answers seen lately, so that none is
-given up that could have made it.
+Each offered call starts, waits in the queue or is refused, and each call that
+completes lets the next one start. Calls whose deadline can no longer be met
+leave the queue at once. Recent minimum response times decide this, so that no
+call is dropped that could still have met its deadline.
 
 # Example
 
@@ -37,96 +37,96 @@
     time::Millis,
 };
 
-/// How a gate behaves.
+/// Options of a gate.
 #[derive(Clone, Debug)]
 pub struct Config {
-    patience: Millis,
+    max_wait: Millis,
     linger: Millis,
     enforce: bool,
 }
 
 impl Default for Config {
     fn default() -> Config {
-        Config { patience: Millis(200), linger: Millis(20), enforce: true }
+        Config { max_wait: Millis(200), linger: Millis(20), enforce: true }
     }
 }
 
 impl Config {
-    /// How long a call waits at most, or as long as a call holds its place
-    /// if that is longer. Two windows of the level controller: long enough
-    /// to outlast a burst that the level will cut, no longer.
-    pub fn patience(mut self, span: Millis) -> Config {
-        self.patience = span;
+    /// Sets how long a call may wait in the queue. If calls hold their slots
+    /// longer than this, the mean hold time applies instead.
+    pub fn max_wait(mut self, span: Millis) -> Config {
+        self.max_wait = span;
         self
     }
 
-    /// How long a canceled call still counts as running, for a backend
-    /// server frees its slot only once it has noticed.
+    /// Sets how long a canceled call still counts as running, since a backend
+    /// server frees its slot only after it noticed the cancellation.
     pub fn linger(mut self, span: Millis) -> Config {
         self.linger = span;
         self
     }
 
-    /// Whether the gate refuses, or only measures.
+    /// Sets whether the gate refuses calls or only measures.
     pub fn enforce(mut self, yes: bool) -> Config {
         self.enforce = yes;
         self
     }
 }
 
-/// A call that wants to run.
+/// A call offered to a gate.
 #[derive(Clone, Copy, Debug)]
 pub struct Offer {
-    /// Which call.
+    /// The call.
     pub call: CallId,
-    /// Its place in the order of refusal.
+    /// Its priority; a larger key is refused earlier.
     pub key: Key,
-    /// The level of this service that its sender knows.
+    /// The level of this service that the sender enforces.
     pub applied: Level,
-    /// When its answer is due.
+    /// The deadline for its response.
     pub deadline: Millis,
 }
 
-/// What becomes of an offer.
+/// The decision on an offered call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// It starts now.
+    /// The call starts now.
     Start,
-    /// It waits; another call may have lost its place.
+    /// The call is queued. If the queue was full, this is the call that was
+    /// evicted for it.
     Wait(Option<CallId>),
-    /// It is refused.
+    /// The call is refused.
     Refuse(Kind),
 }
 
-/// What a gate wants done.
+/// An action that [`Gate::advance`] requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Start a call that waited.
+    /// Start a queued call.
     Start(CallId),
-    /// Refuse a call that waited.
+    /// Refuse a queued call.
     Refuse(CallId, Kind),
 }
 
-/// How a call ended at the backend server.
+/// How a call to the backend server completed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum End {
-    /// It answered.
+pub enum Completion {
+    /// The server responded.
     Answered,
-    /// It answered that it is overloaded.
+    /// The server responded that it is overloaded.
     Overloaded,
-    /// It broke off or could not be reached.
+    /// The server was unreachable or sent no complete response.
     Failed,
-    /// Nobody waits for the answer any more.
+    /// The caller canceled the call.
     Canceled,
 }
 
-/// How many windows of fastest answers the doomed test looks back on.
-const FASTEST_SPAN: Millis = Millis(500);
+/// The window over which the minimum response time is taken.
+const FASTEST_WINDOW: Millis = Millis(500);
 
-/// The smallest queue, so that one-slot servers can have one at all.
+/// The minimum queue capacity.
 const QUEUE_MIN: usize = 4;
 
-/// The gate.
+/// Limits, queues and refuses calls to one backend server.
 #[derive(Debug)]
 pub struct Gate {
     config: Config,
@@ -136,93 +136,95 @@
     running: Map<CallId, Millis>,
     lingering: Vec<Millis>,
     usage: Usage,
-    hold: Hold,
+    hold: HoldTime,
     fastest: Fastest,
 }
 
 impl Gate {
-    /// A gate in front of a server with so many places.
-    pub fn new(config: Config, places: u32) -> Gate {
+    /// Creates a gate for a server that runs at most `max_concurrency` calls.
+    pub fn new(config: Config, max_concurrency: u32) -> Gate {
         Gate {
             config,
-            limit: Limit::new(places),
-            queue: Queue::new(capacity(places)),
+            limit: Limit::new(max_concurrency),
+            queue: Queue::new(queue_capacity(max_concurrency)),
             controller: Controller::new(),
             running: Map::default(),
             lingering: Vec::new(),
             usage: Usage::default(),
-            hold: Hold::default(),
+            hold: HoldTime::default(),
             fastest: Fastest::default(),
         }
     }
 
-    /// Changes the announced places.
-    pub fn set_places(&mut self, places: u32) {
-        self.limit.set_places(places);
-        self.queue.set_capacity(capacity(places));
+    /// Changes the server's maximum concurrency.
+    pub fn set_max_concurrency(&mut self, max_concurrency: u32) {
+        self.limit.set_max_concurrency(max_concurrency);
+        self.queue.set_capacity(queue_capacity(max_concurrency));
     }
 
-    /// How many calls run, lingering ones included.
+    /// Returns the number of running calls, including those canceled recently.
     pub fn in_flight(&self) -> usize {
         self.running.len() + self.lingering.len()
     }
 
-    /// How many calls wait.
+    /// Returns the number of queued calls.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// How many calls may run.
-    pub fn allowed(&self, warmth: f64) -> u32 {
-        self.limit.allowed(warmth)
+    /// Returns the current concurrency limit. `warmup` is the warm-up progress
+    /// from 0 to 1.
+    pub fn allowed(&self, warmup: f64) -> u32 {
+        self.limit.allowed(warmup)
     }
 
-    /// The level in force.
+    /// Returns the current admission level.
     pub fn level(&self) -> Level {
         self.controller.level()
     }
 
-    /// Calls a second that the server can complete, by Little's law: its
-    /// places over the time that a call holds one.
-    pub fn capacity(&self, warmth: f64) -> f64 {
+    /// Returns how many calls per second the server can complete, by Little's
+    /// law: its concurrency limit divided by the mean hold time.
+    pub fn capacity(&self, warmup: f64) -> f64 {
         let hold = self.hold.mean.max(1.0);
-        f64::from(self.allowed(warmth)) * 1000.0 / hold
+        f64::from(self.allowed(warmup)) * 1000.0 / hold
     }
 
-    fn has_room(&self, warmth: f64) -> bool {
-        self.in_flight() < self.limit.allowed(warmth) as usize
+    fn has_room(&self, warmup: f64) -> bool {
+        self.in_flight() < self.limit.allowed(warmup) as usize
     }
 
-    /// Offers a call.
+    /// Offers a call to the gate. `warmup` is the warm-up progress from 0 to
+    /// 1.
     pub fn offer(
         &mut self,
         now: Millis,
         offer: Offer,
-        warmth: f64,
+        warmup: f64,
     ) -> Verdict {
-        self.controller.arrived(offer.key, offer.applied);
+        self.controller.record_arrival(offer.key, offer.applied);
         if !self.config.enforce {
             self.start(now, offer.call);
             return Verdict::Start;
         }
-        if self.is_doomed(now, offer.deadline) {
+        if self.misses_deadline(now, offer.deadline) {
             return Verdict::Refuse(Kind::Deadline);
         }
-        if self.queue.is_empty() && self.has_room(warmth) {
+        if self.queue.is_empty() && self.has_room(warmup) {
             self.start(now, offer.call);
             return Verdict::Start;
         }
-        self.limit.waited();
+        self.limit.record_wait();
         let entry = queue::Entry {
             call: offer.call,
             key: offer.key,
             deadline: offer.deadline,
-            since: now,
+            queued_at: now,
         };
         let pushed = self.queue.push(entry);
         let overflows = !matches!(pushed, Ok(None));
-        if overflows && self.controller.is_pressed(now) {
-            self.end_window(now, warmth);
+        if overflows && self.controller.may_end_window_early(now) {
+            self.end_window(now, warmup);
         }
         match pushed {
             Ok(evicted) => Verdict::Wait(evicted.map(|e| e.call)),
@@ -230,13 +232,13 @@
         }
     }
 
-    /// How long a call may wait. A server that is slow frees its places
-    /// slowly: whoever is next in line must be let wait for one.
-    fn patience(&self) -> Millis {
-        self.config.patience.max(Millis(self.hold.mean as u64))
+    /// Returns how long a call may wait. A slow server frees its slots slowly,
+    /// so the bound is at least the mean hold time.
+    fn max_wait(&self) -> Millis {
+        self.config.max_wait.max(Millis(self.hold.mean as u64))
     }
 
-    fn is_doomed(&self, now: Millis, deadline: Millis) -> bool {
+    fn misses_deadline(&self, now: Millis, deadline: Millis) -> bool {
         now + self.fastest.get(now) >= deadline
     }
 
@@ -245,122 +247,131 @@
         self.running.insert(call, now);
     }
 
-    /// A call left the backend server. `own` is the time it spent there
-    /// without its deeper calls. False if the gate does not know the call.
+    /// Records that a call to the backend server completed. `service_time` is
+    /// the time spent there, without nested calls. Returns false if the call
+    /// is not known.
     pub fn finish(
         &mut self,
         now: Millis,
         call: CallId,
-        end: End,
-        own: Millis,
+        end: Completion,
+        service_time: Millis,
     ) -> bool {
         self.usage.note(now, self.in_flight(), self.queue.len());
         let Some(started) = self.running.remove(&call) else {
             return false;
         };
         match end {
-            End::Answered => {
-                let held = now.since(started);
-                self.limit.finished(own);
-                self.fastest.add(now, held);
-                self.hold.add(held);
+            Completion::Answered => {
+                let hold_time = now.since(started);
+                self.limit.record_completion(service_time);
+                self.fastest.add(now, hold_time);
+                self.hold.add(hold_time);
+            }
+            Completion::Overloaded => self.limit.record_overload(now),
+            Completion::Failed => {}
+            Completion::Canceled => {
+                self.lingering.push(now + self.config.linger)
             }
-            End::Overloaded => self.limit.overloaded(now),
-            End::Failed => {}
-            End::Canceled => self.lingering.push(now + self.config.linger),
         }
         true
     }
 
-    /// Takes a call out of the queue. False if it does not wait.
+    /// Removes a call from the queue. Returns false if it is not queued.
     pub fn withdraw(&mut self, call: CallId) -> bool {
         self.queue.remove(call).is_some()
     }
 
-    /// Starts what has room and gives up what has waited too long.
-    pub fn advance(&mut self, now: Millis, warmth: f64, out: &mut Vec<Step>) {
+    /// Starts queued calls that have room and refuses those that have waited
+    /// too long.
+    pub fn advance(&mut self, now: Millis, warmup: f64, out: &mut Vec<Step>) {
         self.lingering.retain(|until| *until > now);
-        let (patience, least) = (self.patience(), self.fastest.get(now));
-        while let Some(entry) = self.queue.expire(now, patience, least) {
-            let doomed = self.is_doomed(now, entry.deadline);
-            let kind = if doomed { Kind::Deadline } else { Kind::Queued };
+        let (max_wait, min_response_time) =
+            (self.max_wait(), self.fastest.get(now));
+        while let Some(entry) =
+            self.queue.expire(now, max_wait, min_response_time)
+        {
+            let late = self.misses_deadline(now, entry.deadline);
+            let kind = if late { Kind::Deadline } else { Kind::Queued };
             out.push(Step::Refuse(entry.call, kind));
         }
         self.usage.note(now, self.in_flight(), self.queue.len());
-        while !self.queue.is_empty() && self.has_room(warmth) {
+        while !self.queue.is_empty() && self.has_room(warmup) {
             let Some(entry) = self.queue.pop() else { break };
             self.start(now, entry.call);
             out.push(Step::Start(entry.call));
         }
         if self.controller.next_wake() <= now {
-            self.end_window(now, warmth);
+            self.end_window(now, warmup);
         }
         self.limit.tick(now);
     }
 
-    fn end_window(&mut self, now: Millis, warmth: f64) {
-        let allowed = f64::from(self.limit.allowed(warmth));
-        let span = now.since(self.usage.began).secs();
-        let (taken, standing) =
+    fn end_window(&mut self, now: Millis, warmup: f64) {
+        let allowed = f64::from(self.limit.allowed(warmup));
+        let window_secs = now.since(self.usage.window_start).secs();
+        let (used, min_queued) =
             self.usage.end_window(now, self.in_flight(), self.queue.len());
-        let busy = (taken / allowed).min(1.0);
-        let expected = self.capacity(warmth) * span * busy;
-        let age = self.age(now);
+        let utilization = (used / allowed).min(1.0);
+        let expected = self.capacity(warmup) * window_secs * utilization;
+        let age = self.age_p90(now);
         self.hold.end_window(expected, age);
         let sample = Sample {
-            capacity: self.capacity(warmth),
-            hold: self.hold.mean / 1_000.0,
-            standing,
-            busy,
-            span,
+            capacity: self.capacity(warmup),
+            hold_secs: self.hold.mean / 1_000.0,
+            min_queued,
+            utilization,
+            window_secs,
         };
         self.controller.tick(now, sample);
     }
 
-    /// The age that nine in ten of the running calls do not exceed.
-    fn age(&self, now: Millis) -> f64 {
-        let ages = self.running.values().map(|at| now.since(*at).0);
+    /// Returns the 90th percentile of the age of running calls, in
+    /// milliseconds.
+    fn age_p90(&self, now: Millis) -> f64 {
+        let ages = self.running.values().map(|started| now.since(*started).0);
         let mut ages: Vec<u64> = ages.collect();
         if ages.is_empty() {
             return 0.0;
         }
-        let at = (ages.len() - 1) * 9 / 10;
-        *ages.select_nth_unstable(at).1 as f64
+        let index = (ages.len() - 1) * 9 / 10;
+        *ages.select_nth_unstable(index).1 as f64
     }
 
-    /// When [`Gate::advance`] has something to do, at the latest.
+    /// Returns the latest time at which [`Gate::advance`] must be called.
     pub fn next_wake(&self) -> Millis {
         let window = self.controller.next_wake();
         let linger = self.lingering.iter().min().copied();
-        // Windows are short, so the least time of an answer may be as it
-        // was at the last one.
-        let least = self.fastest.get(self.fastest.last);
-        let expiry = self.queue.next_expiry(self.patience(), least);
+        // The minimum response time as of the last response is close enough,
+        // since windows are short.
+        let min_response_time = self.fastest.get(self.fastest.last_response);
+        let expiry =
+            self.queue.next_expiry(self.max_wait(), min_response_time);
         [linger, expiry].into_iter().flatten().fold(window, Millis::min)
     }
 }
 
-fn capacity(places: u32) -> usize {
-    (places as usize).max(QUEUE_MIN)
+fn queue_capacity(max_concurrency: u32) -> usize {
+    (max_concurrency as usize).max(QUEUE_MIN)
 }
 
-/// How many places were taken on average in a window, and how many calls
-/// waited at the least.
+/// Tracks average slot use and minimum queue length over a window.
 #[derive(Debug, Default)]
 struct Usage {
-    since: Millis,
-    began: Millis,
-    taken: f64,
-    standing: Option<usize>,
+    updated: Millis,
+    window_start: Millis,
+    slot_millis: f64,
+    min_queued: Option<usize>,
 }
 
 impl Usage {
-    /// So many calls have run since the last note, and so many wait now.
+    /// Records that `running` calls ran since the last update and that
+    /// `waiting` calls are queued now.
     fn note(&mut self, now: Millis, running: usize, waiting: usize) {
-        self.taken += running as f64 * now.since(self.since).0 as f64;
-        self.since = now;
-        let least = self.standing.map_or(waiting, |s| s.min(waiting));
-        self.standing = Some(least);
+        self.slot_millis += running as f64 * now.since(self.updated).0 as f64;
+        self.updated = now;
+        let min_queued = self.min_queued.map_or(waiting, |s| s.min(waiting));
+        self.min_queued = Some(min_queued);
     }
 
     fn end_window(
@@ -370,32 +381,35 @@
         waiting: usize,
     ) -> (f64, usize) {
         self.note(now, running, waiting);
-        let span = now.since(self.began).0.max(1) as f64;
-        let taken = self.taken / span;
-        let standing = self.standing.unwrap_or(0);
-        let (since, began) = (now, now);
-        *self = Usage { since, began, taken: 0.0, standing: None };
-        (taken, standing)
+        let span = now.since(self.window_start).0.max(1) as f64;
+        let used = self.slot_millis / span;
+        let min_queued = self.min_queued.unwrap_or(0);
+        let (updated, window_start) = (now, now);
+        *self = Usage {
+            updated,
+            window_start,
+            slot_millis: 0.0,
+            min_queued: None,
+        };
+        (used, min_queued)
     }
 }
 
-/// How long a call holds its place, in milliseconds.
+/// The mean time that a call holds its slot, in milliseconds.
 ///
-/// Answers tell it, but a server that turns slow gives none for a while. If
-/// a window brought less than half of the answers that were to be expected,
-/// the calls that still run tell more: they hold at least as long as they
-/// have held by now. Twice their mean age was tried and is wrong by a factor
-/// of two when calls run in step, as after a burst.
+/// It is measured from responses. A server that becomes slow sends none for a
+/// while: if a window brings less than half of the expected responses, the age
+/// of the running calls is used as a lower bound.
 #[derive(Debug, Default)]
-struct Hold {
+struct HoldTime {
     mean: f64,
     sum: f64,
     count: u32,
 }
 
-impl Hold {
-    fn add(&mut self, held: Millis) {
-        self.sum += held.0 as f64;
+impl HoldTime {
+    fn add(&mut self, hold_time: Millis) {
+        self.sum += hold_time.0 as f64;
         self.count += 1;
     }
 
@@ -413,36 +427,36 @@
     }
 }
 
-/// The weight of a window's answers: half, so that a tenfold change is taken
-/// over in some three windows and one odd answer does not decide.
+/// The weight of one window in the mean hold time.
 const HOLD_WEIGHT: f64 = 0.5;
 
-/// The fastest answer of this span and the one before.
+/// The minimum response time over the current and the previous window.
 #[derive(Debug, Default)]
 struct Fastest {
-    now: Option<Millis>,
-    before: Option<Millis>,
-    since: Millis,
-    last: Millis,
+    current: Option<Millis>,
+    previous: Option<Millis>,
+    window_start: Millis,
+    last_response: Millis,
 }
 
 impl Fastest {
-    fn add(&mut self, now: Millis, took: Millis) {
-        self.last = now;
-        if now.since(self.since) >= FASTEST_SPAN {
-            self.before = self.now.take();
-            self.since = now;
+    fn add(&mut self, now: Millis, response_time: Millis) {
+        self.last_response = now;
+        if now.since(self.window_start) >= FASTEST_WINDOW {
+            self.previous = self.current.take();
+            self.window_start = now;
         }
-        self.now = Some(self.now.map_or(took, |t| t.min(took)));
+        self.current =
+            Some(self.current.map_or(response_time, |t| t.min(response_time)));
     }
 
-    /// Zero if no answer came lately: were an old figure kept, a server
-    /// that turned fast again would never be tried.
+    /// Returns the minimum response time, or zero without recent responses: an
+    /// outdated value could keep a recovered server from being tried.
     fn get(&self, now: Millis) -> Millis {
-        if now.since(self.last) > FASTEST_SPAN + FASTEST_SPAN {
+        if now.since(self.last_response) > FASTEST_WINDOW + FASTEST_WINDOW {
             return Millis(0);
         }
-        let both = [self.now, self.before];
-        both.into_iter().flatten().min().unwrap_or_default()
+        let windows = [self.current, self.previous];
+        windows.into_iter().flatten().min().unwrap_or_default()
     }
 }
--- a/crates/walnutmoor-core/src/gossip.rs
+++ b/crates/walnutmoor-core/src/gossip.rs
@@ -103,14 +103,14 @@
         value: &Option<Outcome>,
         out: S,
     ) -> Result<S::Ok, S::Error> {
-        value.map(|o| (o.ran, o.open)).serialize(out)
+        value.map(|o| (o.ran, o.pending)).serialize(out)
     }
 
     pub(super) fn deserialize<'de, D: Deserializer<'de>>(
         input: D,
     ) -> Result<Option<Outcome>, D::Error> {
         let pair = Option::<(Ran, bool)>::deserialize(input)?;
-        Ok(pair.map(|(ran, open)| Outcome { ran, open }))
+        Ok(pair.map(|(ran, open)| Outcome { ran, pending: open }))
     }
 }
 
--- a/crates/walnutmoor-core/src/lib.rs
+++ b/crates/walnutmoor-core/src/lib.rs
@@ -21,7 +21,7 @@
     call: CallId(id),
     key: Key::new(Rank(key), 0),
     deadline: Millis(500),
-    since: Millis(0),
+    queued_at: Millis(0),
 };
 assert!(queue.push(entry(1, 2)).is_ok());
 assert!(queue.push(entry(2, 1)).is_ok());
--- a/crates/walnutmoor-core/src/limit.rs
+++ b/crates/walnutmoor-core/src/limit.rs
@@ -1,20 +1,20 @@
 /*!
-A concurrency limit in front of one backend server, found from its answers.
+An adaptive concurrency limit in front of one backend server.
 
-The limit never exceeds the places that the server announced. Below that it
-is found in three ways:
+The limit never exceeds the maximum concurrency that the server announced.
+Below that it adapts in three ways:
 
-- a cold server ramps up with its warm-up;
-- an answer that says *overloaded* cuts the limit by a tenth, at most once a
-  window, and steps of one bring it back;
-- when the server's own time a call has grown well above its lowest, a trial
-  runs a window with a tenth fewer places. If throughput held, the places
-  were not real and the lower limit stays; if it fell, the old one returns
-  and the next trial waits twice as long.
+- a server that warms up gets a share that grows with its warm-up;
+- an overload response cuts the limit by a tenth, at most once a window, and it
+  recovers in steps of one;
+- when the server's own service time has grown well above its minimum, a probe
+  runs one window with the limit lowered by a tenth. If throughput holds, the
+  lower limit stays. If it falls, the old limit is restored and the interval to
+  the next probe doubles.
 
-The last rule is why a server that merely became slow keeps its places: a
-latency gradient alone cannot tell a slow server from a crowded one, and
-cutting a slow one makes it slower still.
+The probe distinguishes a congested server from one that is merely slow. A
+latency gradient cannot, and lowering the limit of a slow server reduces its
+throughput further.
 
 # Example
 
@@ -24,196 +24,203 @@
 let mut limit = Limit::new(40);
 assert_eq!(limit.allowed(1.0), 40);
 assert_eq!(limit.allowed(0.25), 10);
-limit.overloaded(Millis(0));
+limit.record_overload(Millis(0));
 assert_eq!(limit.allowed(1.0), 36);
 ```
 */
 
 use crate::time::Millis;
 
-/// How long one measurement takes.
-///
-/// At the lowest rates of the brief (40 places, 150 ms a call, about 270
-/// calls a second) a window holds more than 100 answers, so a change of a
-/// tenth stands out of the noise of their count.
-const WINDOW: Millis = Millis(500);
+/// The minimum length of a measurement window.
+const WINDOW_MIN: Millis = Millis(500);
 
-/// The least length of a measurement, in times of a call's own time.
-const SPAN: f64 = 4.0;
+/// The minimum length of a window, as a multiple of the service time.
+const WINDOW_SERVICE_TIMES: f64 = 4.0;
 
-/// What an overload answer leaves of the limit.
-const CUT: f64 = 0.9;
+/// The factor applied to the limit after an overload response and during a
+/// probe.
+const DECREASE_FACTOR: f64 = 0.9;
 
-/// How long the limit rests after a cut or a trial that was kept.
-const REST: Millis = Millis(1_000);
+/// How long the limit is not raised after an overload response, and the
+/// initial interval between probes.
+const COOLDOWN: Millis = Millis(1_000);
 
-/// A server is suspected to be crowded if its own time has grown by this.
-const CROWDED: f64 = 1.5;
+/// The ratio of service time to its minimum above which a server may be
+/// congested.
+const CONGESTION_RATIO: f64 = 1.5;
 
-/// A trial is kept if this share of the throughput remains.
-const KEPT: f64 = 0.97;
+/// The share of the throughput that must remain for the probed limit to stay.
+const THROUGHPUT_RATIO_MIN: f64 = 0.97;
 
-/// The longest pause between two trials.
-const PAUSE_MAX: Millis = Millis(8_000);
+/// The maximum interval between two probes, and how long the limit is not
+/// raised after a successful probe.
+const PROBE_INTERVAL_MAX: Millis = Millis(8_000);
 
-/// The weight of a new sample in the running mean of a call's own time.
-const WEIGHT: f64 = 0.1;
+/// The weight of a new sample in the moving average of the service time.
+const SERVICE_TIME_WEIGHT: f64 = 0.1;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
     Steady,
-    Trial { ceiling: f64, rate: f64 },
+    Probe { limit: f64, rate: f64 },
 }
 
-/// The limit.
+/// An adaptive concurrency limit.
 #[derive(Debug)]
 pub struct Limit {
-    places: u32,
-    ceiling: f64,
+    max_concurrency: u32,
+    limit: f64,
     phase: Phase,
-    window: Millis,
-    finished: u32,
-    waits: u32,
+    window_start: Millis,
+    completed: u32,
+    waited: u32,
     last_rate: f64,
-    own: f64,
-    own_min: f64,
-    rest: Millis,
-    cut: Option<Millis>,
-    next_trial: Millis,
-    pause: Millis,
+    service_time: f64,
+    service_time_min: f64,
+    cooldown_until: Millis,
+    last_cut: Option<Millis>,
+    next_probe: Millis,
+    probe_interval: Millis,
 }
 
 impl Limit {
-    /// A limit for a server that announced so many places.
-    pub fn new(places: u32) -> Limit {
-        let places = places.max(1);
+    /// Creates a limit for a server that runs at most `max_concurrency` calls.
+    pub fn new(max_concurrency: u32) -> Limit {
+        let max_concurrency = max_concurrency.max(1);
         Limit {
-            places,
-            ceiling: f64::from(places),
+            max_concurrency,
+            limit: f64::from(max_concurrency),
             phase: Phase::Steady,
-            window: Millis(0),
-            finished: 0,
-            waits: 0,
+            window_start: Millis(0),
+            completed: 0,
+            waited: 0,
             last_rate: 0.0,
-            own: 0.0,
-            own_min: f64::INFINITY,
-            rest: Millis(0),
-            cut: None,
-            next_trial: Millis(0),
-            pause: REST,
+            service_time: 0.0,
+            service_time_min: f64::INFINITY,
+            cooldown_until: Millis(0),
+            last_cut: None,
+            next_probe: Millis(0),
+            probe_interval: COOLDOWN,
         }
     }
 
-    /// Changes the announced places.
-    pub fn set_places(&mut self, places: u32) {
-        let places = places.max(1);
-        let grown = f64::from(places) > f64::from(self.places);
-        self.places = places;
-        if grown {
-            self.ceiling = f64::from(places);
+    /// Changes the server's maximum concurrency.
+    pub fn set_max_concurrency(&mut self, max_concurrency: u32) {
+        let max_concurrency = max_concurrency.max(1);
+        let increased =
+            f64::from(max_concurrency) > f64::from(self.max_concurrency);
+        self.max_concurrency = max_concurrency;
+        if increased {
+            self.limit = f64::from(max_concurrency);
         }
-        self.ceiling = self.ceiling.min(f64::from(places));
+        self.limit = self.limit.min(f64::from(max_concurrency));
     }
 
-    /// How many calls may run now, at a warmth from 0 to 1.
-    pub fn allowed(&self, warmth: f64) -> u32 {
-        let warm = f64::from(self.places) * warmth.clamp(0.0, 1.0);
-        (self.ceiling.min(warm).round() as u32).max(1)
+    /// Returns how many calls may run now. `warmup` is the warm-up progress
+    /// from 0 to 1.
+    pub fn allowed(&self, warmup: f64) -> u32 {
+        let warm_limit =
+            f64::from(self.max_concurrency) * warmup.clamp(0.0, 1.0);
+        (self.limit.min(warm_limit).round() as u32).max(1)
     }
 
-    /// The server refused a call as overloaded.
-    pub fn overloaded(&mut self, now: Millis) {
-        if self.cut.is_some_and(|at| now < at + WINDOW) {
+    /// Records that the server refused a call as overloaded.
+    pub fn record_overload(&mut self, now: Millis) {
+        if self.last_cut.is_some_and(|at| now < at + WINDOW_MIN) {
             return;
         }
-        self.cut = Some(now);
-        self.ceiling = (self.ceiling * CUT).max(1.0);
-        self.rest = now + REST;
+        self.last_cut = Some(now);
+        self.limit = (self.limit * DECREASE_FACTOR).max(1.0);
+        self.cooldown_until = now + COOLDOWN;
         self.phase = Phase::Steady;
     }
 
-    /// A call finished; `own` is the time it took at this server itself,
-    /// without its deeper calls.
-    pub fn finished(&mut self, own: Millis) {
-        let sample = own.0.max(1) as f64;
-        self.finished += 1;
-        if self.own == 0.0 {
-            self.own = sample;
+    /// Records a completed call. `service_time` is the time it took at this
+    /// server, without nested calls.
+    pub fn record_completion(&mut self, service_time: Millis) {
+        let sample = service_time.0.max(1) as f64;
+        self.completed += 1;
+        if self.service_time == 0.0 {
+            self.service_time = sample;
         }
-        self.own += (sample - self.own) * WEIGHT;
+        self.service_time +=
+            (sample - self.service_time) * SERVICE_TIME_WEIGHT;
     }
 
-    /// A call had to wait for a place.
-    pub fn waited(&mut self) {
-        self.waits += 1;
+    /// Records that a call had to wait for a slot.
+    pub fn record_wait(&mut self) {
+        self.waited += 1;
     }
 
-    /// True if throughput was the server's doing: nearly all calls had to
-    /// wait. Otherwise it tells of the demand, and a trial would prove
-    /// nothing. Half of them was tried: a server that is merely slow and
-    /// well filled reaches that, and lost a tenth of its places for seconds.
-    fn saturated(&self) -> bool {
-        self.waits * 10 > self.finished * 9
+    /// Returns true if nearly all calls had to wait. Otherwise the throughput
+    /// is bounded by demand and a probe is meaningless.
+    fn is_saturated(&self) -> bool {
+        self.waited * 10 > self.completed * 9
     }
 
-    /// How long a measurement takes: some times a call's own time, or calls
-    /// that end in step would make throughput look uneven.
-    fn span(&self) -> Millis {
-        WINDOW.max(Millis((self.own * SPAN) as u64))
+    /// Returns the window length. It covers several service times, so that
+    /// calls completing in batches do not distort the throughput.
+    fn window_length(&self) -> Millis {
+        WINDOW_MIN
+            .max(Millis((self.service_time * WINDOW_SERVICE_TIMES) as u64))
     }
 
-    /// Ends a window when its time has come.
+    /// Ends the window and updates the limit if the window has passed.
     pub fn tick(&mut self, now: Millis) {
-        let span = now.since(self.window);
-        if span < self.span() {
+        let elapsed = now.since(self.window_start);
+        if elapsed < self.window_length() {
             return;
         }
-        let rate = f64::from(self.finished) / span.secs();
-        if self.finished > 0 {
-            self.own_min = self.own_min.min(self.own);
+        let rate = f64::from(self.completed) / elapsed.secs();
+        if self.completed > 0 {
+            self.service_time_min =
+                self.service_time_min.min(self.service_time);
         }
-        self.judge(now, rate);
+        self.update(now, rate);
         self.last_rate = rate;
-        self.window = now;
-        self.finished = 0;
-        self.waits = 0;
+        self.window_start = now;
+        self.completed = 0;
+        self.waited = 0;
     }
 
-    fn judge(&mut self, now: Millis, rate: f64) {
+    fn update(&mut self, now: Millis, rate: f64) {
         match self.phase {
-            Phase::Trial { ceiling, rate: before } => {
-                self.end_trial(now, rate >= before * KEPT, ceiling)
+            Phase::Probe { limit, rate: baseline } => self.end_probe(
+                now,
+                rate >= baseline * THROUGHPUT_RATIO_MIN,
+                limit,
+            ),
+            Phase::Steady if now < self.cooldown_until => {}
+            Phase::Steady if !self.is_saturated() => self.increase(),
+            Phase::Steady if self.is_congested() && now >= self.next_probe => {
+                let limit = self.limit;
+                let baseline = rate.max(self.last_rate);
+                self.phase = Phase::Probe { limit, rate: baseline };
+                self.limit = (limit * DECREASE_FACTOR).max(1.0);
             }
-            Phase::Steady if now < self.rest => {}
-            Phase::Steady if !self.saturated() => self.grow(),
-            Phase::Steady if self.crowded() && now >= self.next_trial => {
-                let ceiling = self.ceiling;
-                let before = rate.max(self.last_rate);
-                self.phase = Phase::Trial { ceiling, rate: before };
-                self.ceiling = (ceiling * CUT).max(1.0);
-            }
-            Phase::Steady => self.grow(),
+            Phase::Steady => self.increase(),
         }
     }
 
-    fn grow(&mut self) {
-        let places = f64::from(self.places);
-        self.ceiling = (self.ceiling + 1.0).min(places);
+    fn increase(&mut self) {
+        let max_concurrency = f64::from(self.max_concurrency);
+        self.limit = (self.limit + 1.0).min(max_concurrency);
     }
 
-    fn end_trial(&mut self, now: Millis, kept: bool, ceiling: f64) {
+    fn end_probe(&mut self, now: Millis, rate_held: bool, limit: f64) {
         self.phase = Phase::Steady;
-        if kept && self.saturated() {
-            self.pause = REST;
-            self.rest = now + PAUSE_MAX;
+        if rate_held && self.is_saturated() {
+            self.probe_interval = COOLDOWN;
+            self.cooldown_until = now + PROBE_INTERVAL_MAX;
         } else {
-            self.ceiling = ceiling;
-            self.pause = Millis(self.pause.0 * 2).min(PAUSE_MAX);
+            self.limit = limit;
+            self.probe_interval =
+                Millis(self.probe_interval.0 * 2).min(PROBE_INTERVAL_MAX);
         }
-        self.next_trial = now + self.pause;
+        self.next_probe = now + self.probe_interval;
     }
 
-    fn crowded(&self) -> bool {
-        self.own > self.own_min * CROWDED
+    fn is_congested(&self) -> bool {
+        self.service_time > self.service_time_min * CONGESTION_RATIO
     }
 }
--- a/crates/walnutmoor-core/src/node/control.rs
+++ b/crates/walnutmoor-core/src/node/control.rs
@@ -254,7 +254,7 @@
         out: &mut Vec<Action>,
     ) {
         let Some(purpose) = self.control.ops.remove(&op) else { return };
-        self.note_platform(now, reply != Reply::Down, out);
+        self.note_platform(now, reply != Reply::Unavailable, out);
         match purpose {
             Purpose::Boot => self.booted(reply, out),
             Purpose::Watch => self.watched(now, reply, out),
--- a/crates/walnutmoor-core/src/node/entry.rs
+++ b/crates/walnutmoor-core/src/node/entry.rs
@@ -3,7 +3,7 @@
 use super::{Action, Core};
 use crate::{
     admit::Level,
-    call::{Arrival, DEPTH_MAX, Envelope, Leg},
+    call::{Arrival, DEPTH_MAX, Envelope, Role},
     class::{self, Class, Key},
     digest::Set,
     error::{Kind, Ran, Refusal},
@@ -61,7 +61,7 @@
 
     /// True if this node runs the call as the owner of its ticket.
     pub(super) fn owned(&self) -> Option<Ticket> {
-        let server = self.envelope.leg == Leg::Server;
+        let server = self.envelope.role == Role::Server;
         self.envelope.ticket.filter(|_| server)
     }
 }
@@ -185,7 +185,7 @@
         let request = request.unwrap_or_else(|| self.draw_request());
         let once = class.kind == class::Kind::Once;
         let envelope = Envelope {
-            leg: Leg::Server,
+            role: Role::Server,
             service: arrival.service.clone(),
             from: None,
             class: class.name,
@@ -245,7 +245,7 @@
             _ => None,
         };
         let envelope = Envelope {
-            leg: Leg::Server,
+            role: Role::Server,
             service: arrival.service.clone(),
             from,
             left,
@@ -269,7 +269,7 @@
             return Ok(());
         }
         let (class, service) = (&envelope.class, &envelope.service);
-        let level = self.view.strictest(now, class, service);
+        let level = self.view.strictest_level(now, class, service);
         if level.admits(envelope.key) {
             self.stats.admitted += 1;
             return Ok(());
@@ -278,7 +278,7 @@
             self.stats.observed += 1;
             return Ok(());
         }
-        let wait = self.view.distance(level, envelope.key);
+        let wait = self.view.retry_delay(level, envelope.key);
         let wait = self.spread(wait);
         let refusal = Refusal::new(Kind::Overloaded, Ran::No);
         Err(refusal.retry_after(wait))
@@ -364,7 +364,7 @@
         let envelope = o.envelope.clone();
         if first {
             let from = envelope.from.as_ref();
-            self.share.first(from, &envelope.service);
+            self.share.record_first_attempt(from, &envelope.service);
         }
         self.router.sent(to);
         self.stats.forwarded += 1;
--- a/crates/walnutmoor-core/src/node/issue.rs
+++ b/crates/walnutmoor-core/src/node/issue.rs
@@ -4,7 +4,7 @@
 use crate::{
     error::{self, Kind, Refusal},
     gossip::Body,
-    ticket::{Party, STAMP_MAX, Ticket},
+    ticket::{Party, STAMP_AGE_MAX, Ticket},
     time::Millis,
 };
 
@@ -107,7 +107,7 @@
     /// The freshest stamp of a witness that is alive.
     fn usable_stamp(&self, now: Millis) -> Option<Stamp> {
         let known = self.stamps.known.iter();
-        let fresh = known.filter(|s| now.since(s.at) <= STAMP_MAX);
+        let fresh = known.filter(|s| now.since(s.at) <= STAMP_AGE_MAX);
         let alive = fresh.filter(|s| self.is_living(s.party));
         alive.max_by_key(|s| s.at).copied()
     }
--- a/crates/walnutmoor-core/src/node/outcome.rs
+++ b/crates/walnutmoor-core/src/node/outcome.rs
@@ -5,7 +5,7 @@
     entry::{MARGIN, Outbound, Stage, TRIES_MAX},
 };
 use crate::{
-    call::{Leg, Reply, Trailer, is_error},
+    call::{Reply, Role, Trailer, is_error},
     error::{Kind, Ran, Refusal},
     id::CallId,
     retry::Budget,
@@ -24,9 +24,9 @@
     ) {
         let Some(o) = self.outbound.get_mut(&call) else { return };
         let Some(to) = o.to.take() else { return };
-        let relayed = o.envelope.leg == Leg::Owner;
+        let relayed = o.envelope.role == Role::Owner;
         match reply {
-            Reply::Whole { status, size, trailer } => {
+            Reply::Complete { status, size, trailer } => {
                 let good = !is_error(status);
                 self.router.answered(now, to, trailer.load, good);
                 self.absorb(now, call, &trailer);
@@ -38,7 +38,7 @@
                     self.router.failed(now, to);
                 }
                 self.absorb(now, call, &trailer);
-                match refusal.is_free_to_move() && !relayed {
+                match refusal.allows_transparent_retry() && !relayed {
                     true => self.elsewhere(now, call, refusal, out),
                     false => self.give_up(now, call, refusal, out),
                 }
@@ -121,7 +121,7 @@
     /// Takes in what came back beside the answer.
     fn absorb(&mut self, now: Millis, call: CallId, trailer: &Trailer) {
         for report in &trailer.reports {
-            self.view.hear(now, report);
+            self.view.record_report(now, report);
         }
         let Some(o) = self.outbound.get_mut(&call) else { return };
         // Less may come back than was given, never more.
@@ -140,7 +140,7 @@
             None => {
                 let class = o.envelope.class.clone();
                 for service in below {
-                    self.view.pass(now, &class, &own, service);
+                    self.view.record_path(now, &class, &own, service);
                 }
             }
         }
@@ -238,7 +238,7 @@
         let o = &self.outbound[&call];
         if let Some(ticket) = o.owned() {
             // Work that must run once and has begun goes on.
-            self.ledger.leave(ticket.nonce, call);
+            self.ledger.remove_waiter(ticket.nonce, call);
             return;
         }
         if let Some(to) = o.to {
@@ -269,7 +269,7 @@
             self.timers.insert((o.deadline, call));
             let waiters = self.ledger.waiters(ticket.nonce).to_vec();
             for waiter in waiters {
-                self.ledger.leave(ticket.nonce, waiter);
+                self.ledger.remove_waiter(ticket.nonce, waiter);
                 self.refuse(waiter, refusal.clone(), out);
             }
             return;
--- a/crates/walnutmoor-core/src/node/serve.rs
+++ b/crates/walnutmoor-core/src/node/serve.rs
@@ -3,10 +3,10 @@
 use super::{Action, Core, Note, entry::Failed};
 use crate::{
     admit::{Level, PATH_MAX, Report},
-    call::{Envelope, Leg, Reply, Trailer, is_overload},
+    call::{Envelope, Reply, Role, Trailer, is_overload},
     directory::{Offer as Advert, Status},
     error::{Kind, Ran, Refusal},
-    gate::{self, End, Gate, Offer, Step, Verdict},
+    gate::{self, Completion, Gate, Offer, Step, Verdict},
     id::{CallId, Service},
     retry::Budget,
     route::Load,
@@ -104,7 +104,7 @@
         out: &mut Vec<Action>,
     ) {
         self.stats.hops += 1;
-        if envelope.leg == Leg::Owner {
+        if envelope.role == Role::Owner {
             self.own(now, call, envelope, out);
             return;
         }
@@ -116,7 +116,7 @@
         let deadline = now + envelope.left;
         let (key, applied) = (envelope.key, envelope.applied);
         let offer = Offer { call, key, applied, deadline };
-        let warmth = self.server.warmth(now);
+        let warmth = self.server.warmup_progress(now);
         let Some(gate) = &mut self.gate else { return };
         let verdict = gate.offer(now, offer, warmth);
         self.inbound.insert(call, Inbound::new(envelope, deadline));
@@ -179,7 +179,7 @@
         let Some(inbound) = self.inbound.remove(&call) else { return };
         self.timers.remove(&(inbound.deadline, call));
         let level = self.gate.as_ref().map(Gate::level).unwrap_or_default();
-        let wait = self.view.distance(level, inbound.envelope.key);
+        let wait = self.view.retry_delay(level, inbound.envelope.key);
         let wait = self.spread(wait);
         let refusal = Refusal::new(kind, Ran::No).retry_after(wait);
         let unspent = inbound.budget.left();
@@ -233,7 +233,7 @@
             reports.extend(known);
         }
         reports.truncate(REPORTS_MAX);
-        let warmth = self.server.warmth(now);
+        let warmth = self.server.warmup_progress(now);
         let load = gate.map(|gate| Load {
             busy: (gate.in_flight() + gate.queued()) as u32,
             allowed: gate.allowed(warmth),
@@ -256,15 +256,15 @@
         out: &mut Vec<Action>,
     ) {
         let end = match &reply {
-            Reply::Whole { status, .. } if is_overload(*status) => {
-                End::Overloaded
+            Reply::Complete { status, .. } if is_overload(*status) => {
+                Completion::Overloaded
             }
-            Reply::Whole { .. } => End::Answered,
-            _ => End::Failed,
+            Reply::Complete { .. } => Completion::Answered,
+            _ => Completion::Failed,
         };
         let Some(inbound) = self.finish(now, call, end, out) else { return };
         let unspent = inbound.budget.left();
-        if let Reply::Whole { .. } = reply {
+        if let Reply::Complete { .. } = reply {
             self.stats.answered += 1;
             let trailer = self.trailer(now, &inbound.passed, unspent);
             let trailer = Some(trailer);
@@ -292,7 +292,7 @@
         &mut self,
         now: Millis,
         call: CallId,
-        end: End,
+        end: Completion,
         out: &mut Vec<Action>,
     ) -> Option<Inbound> {
         let children = self.inbound.get(&call)?.children.clone();
@@ -366,7 +366,8 @@
         } else {
             out.push(Action::Abort { call });
         }
-        let Some(inbound) = self.finish(now, call, End::Canceled, out) else {
+        let Some(inbound) = self.finish(now, call, Completion::Canceled, out)
+        else {
             return;
         };
         let unspent = inbound.budget.left();
@@ -377,7 +378,7 @@
 
     /// Starts what has room, gives up what has waited too long.
     pub(super) fn advance(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let warmth = self.server.warmth(now);
+        let warmth = self.server.warmup_progress(now);
         let Some(gate) = &mut self.gate else { return };
         let mut steps = Vec::new();
         gate.advance(now, warmth, &mut steps);
@@ -409,14 +410,14 @@
         if self.draining {
             return;
         }
-        let places = what.places();
+        let places = what.max_concurrency();
         let changed = self.server.announced() != Some(&what);
         let moved = self.server.announce(now, what);
         match &mut self.gate {
-            Some(gate) => gate.set_places(places),
+            Some(gate) => gate.set_max_concurrency(places),
             None => {
                 let config = gate::Config::default()
-                    .patience(self.config.patience)
+                    .max_wait(self.config.patience)
                     .linger(self.config.linger)
                     .enforce(!self.observes());
                 self.gate = Some(Gate::new(config, places));
@@ -452,7 +453,7 @@
         now: Millis,
         out: &mut Vec<Action>,
     ) {
-        if !self.server.leave() {
+        if !self.server.drain() {
             return;
         }
         self.advertise(now);
@@ -478,7 +479,7 @@
 
     pub(super) fn server_is_gone(&mut self, out: &mut Vec<Action>) {
         let draining = self.server.state() == State::Draining;
-        if draining && self.inbound.is_empty() && self.server.idle() {
+        if draining && self.inbound.is_empty() && self.server.finish_drain() {
             self.gate = None;
             self.note_server(out);
         }
--- a/crates/walnutmoor-core/src/node/stat.rs
+++ b/crates/walnutmoor-core/src/node/stat.rs
@@ -4,7 +4,7 @@
 
 use super::Core;
 use crate::{
-    admit::Way,
+    admit::PathLevel,
     config,
     error::Kind,
     id::{NodeId, Revision},
@@ -85,7 +85,7 @@
     /// The admission level in front of it.
     pub level: String,
     /// What each class meets that enters at this node.
-    pub ways: Vec<Way>,
+    pub ways: Vec<PathLevel>,
     /// Calls that run there.
     pub running: usize,
     /// Calls that wait.
@@ -107,7 +107,7 @@
 impl Core {
     pub(super) fn status(&self, now: Millis) -> Status {
         let directory = self.gossip.members().directory();
-        let warmth = self.server.warmth(now);
+        let warmth = self.server.warmup_progress(now);
         let gate = self.gate.as_ref();
         let level = gate.map(|g| g.level()).unwrap_or_default();
         Status {
@@ -119,7 +119,7 @@
             server: crate::chart::Symbol::name(self.server.state()),
             announced: self.server.announced().cloned(),
             level: level.to_string(),
-            ways: self.view.ways(now),
+            ways: self.view.path_levels(now),
             running: gate.map_or(0, |g| g.in_flight()),
             queued: gate.map_or(0, |g| g.queued()),
             allowed: gate.map_or(0, |g| g.allowed(warmth)),
--- a/crates/walnutmoor-core/src/node/tickets.rs
+++ b/crates/walnutmoor-core/src/node/tickets.rs
@@ -7,7 +7,7 @@
     entry::{Outbound, Stage},
 };
 use crate::{
-    call::{Arrival, Envelope, Leg},
+    call::{Arrival, Envelope, Role},
     digest::Map,
     error::{self, Kind, Refusal},
     gossip::Body,
@@ -171,7 +171,7 @@
         };
         let deadline = now + envelope.left;
         let Some(ticket) = envelope.ticket else { return };
-        let envelope = Envelope { leg: Leg::Server, ..envelope };
+        let envelope = Envelope { role: Role::Server, ..envelope };
         let result = if ticket.owner != self.me {
             // Another life of this node. It knows nothing of the ticket;
             // the witness does.
@@ -199,7 +199,7 @@
         deadline: Millis,
         out: &mut Vec<Action>,
     ) {
-        let envelope = Envelope { leg: Leg::Owner, ..envelope };
+        let envelope = Envelope { role: Role::Owner, ..envelope };
         let new = Outbound::new(envelope, deadline, None);
         self.begin(now, call, new);
         if self.is_living(ticket.owner) {
@@ -273,7 +273,7 @@
                     self.refuse(waiter, refusal, out);
                 }
             }
-            Verdict::Stranger | Verdict::Full => {
+            Verdict::Unknown | Verdict::Full => {
                 self.refuse_marking(now, call, Kind::WitnessSilent, out)
             }
         }
@@ -305,7 +305,7 @@
         let asking = Asking { ticket, next: now + AGAIN, sends: 1 };
         self.asks.insert(call, asking);
         if ticket.witness == self.me {
-            let verdict = self.witness.ask(now, &ticket);
+            let verdict = self.witness.resolve(now, &ticket);
             self.told(now, ticket, verdict, out);
             return;
         }
@@ -337,7 +337,7 @@
         asks.sort();
         for ask in asks {
             self.inspections.remove(&ask);
-            let result = Ok(Outcome { ran, open: false });
+            let result = Ok(Outcome { ran, pending: false });
             out.push(Action::Inspected { ask, result });
         }
     }
@@ -381,7 +381,7 @@
             let body = Body::Inspect(ticket);
             self.post(ticket.owner.node, body, out);
         } else if ticket.witness == self.me {
-            let verdict = self.witness.ask(now, &ticket);
+            let verdict = self.witness.resolve(now, &ticket);
             self.told(now, ticket, verdict, out);
         } else {
             self.post(ticket.witness.node, Body::Ask(ticket), out);
@@ -423,7 +423,7 @@
                 Body::Marked(ticket, verdict)
             }
             Body::Ask(ticket) => {
-                let verdict = self.witness.ask(now, &ticket);
+                let verdict = self.witness.resolve(now, &ticket);
                 let set = verdict == Verdict::Tombstone;
                 self.stats.tombstones += u64::from(set);
                 Body::Told(ticket, verdict)
--- a/crates/walnutmoor-core/src/once.rs
+++ b/crates/walnutmoor-core/src/once.rs
@@ -1,30 +1,29 @@
 /*!
-The owner's side of at-most-once: a bounded ledger of tickets.
+At-most-once execution, owner side: a bounded ledger of tickets.
 
 Only the owner of a ticket may run its call. The ledger lets the first caller
-begin, joins repeats to it, and replays the kept answer to those that come
-later. The chart `charts/ticket.yaml` is interpreted: a ticket that was not
-run goes back to *issued* and may be begun again; one whose fate is unknown
-never runs again.
+begin, joins duplicates to the call in progress, and replays the stored answer
+to later ones. Its states follow the chart `charts/ticket.yaml`: a ticket whose
+call was not run returns to *issued* and may begin again; one whose outcome is
+unknown never runs again.
 
-The ledger never forgets what it promised. It drops a ticket only once the
-ticket's span has passed and nothing is under way, and when it is full it
-issues no more. The nonce of a ticket carries a check drawn from a secret of
-this life, so that a ticket that was made up is told from one that has
-expired.
+The ledger drops a ticket only once its validity has expired and its call is
+not in progress. A full ledger issues no more tickets. The nonce of a ticket
+contains a checksum keyed with a secret of this incarnation, which
+distinguishes expired tickets from forged ones.
 
-Steps, the deeper calls that must run once under a ticket, are numbered by
-the backend server and kept in the same ledger. They need no witness: a
-parent runs at most once, and only this node can run its steps.
+Steps, the nested calls that must run once under a ticket, are numbered by the
+backend server and kept in the same ledger. They need no witness: a parent runs
+at most once, and only this node can run its steps.
 
 # Example
 
 ```
 use walnutmoor_core::{once::{Begin, Ledger}, prelude::*, ticket::*};
 
-let party = |port, life| Party {
+let party = |port, incarnation| Party {
     node: NodeId(([127, 0, 0, 1], port).into()),
-    incarnation: Incarnation(life),
+    incarnation: Incarnation(incarnation),
 };
 let secret = 7;
 let mut ledger = Ledger::new(party(7402, 1), secret, 100);
@@ -54,7 +53,7 @@
 };
 
 symbols! {
-    /// Where a ticket is in its life.
+    /// The state of a ticket.
     pub enum State {
         Issued = "issued",
         Marking = "marking",
@@ -66,7 +65,7 @@
 }
 
 symbols! {
-    /// What moves a ticket along.
+    /// An event that changes the state of a ticket.
     pub enum Trigger {
         Begin = "begin",
         Mark = "mark",
@@ -78,40 +77,41 @@
     }
 }
 
-/// The chart as shipped.
+/// The state chart of a ticket.
 pub const CHART: &str = include_str!("../charts/ticket.yaml");
 
-/// The most callers that wait for one ticket.
+/// The maximum number of callers that wait for one ticket.
 const WAITERS_MAX: usize = 16;
 
-/// How long a ticket that went unknown or was refused at its end is still
-/// told about, beyond its span.
-const AFTERLIFE: Millis = Millis(10_000);
+/// How long a ticket is kept after it expired, so that its outcome can still
+/// be queried, and the interval at which a ticket that is still active is
+/// checked again.
+const SETTLED_RETENTION: Millis = Millis(10_000);
 
-/// What a caller's call with a ticket leads to.
+/// The decision on a call with a ticket.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Begin {
-    /// The first: get the witness's mark, then run.
+    /// The first call: get the mark of the witness, then run it.
     Fresh,
-    /// Under way: this caller gets the same answer.
+    /// The call is in progress; this caller gets the same answer.
     Joined,
-    /// Done before: give this caller the kept answer.
+    /// The call is done; replay the stored answer.
     Replay,
-    /// No.
+    /// The call is refused.
     Refuse(Refusal),
 }
 
-/// What became of a ticket, as told to those who ask.
+/// The outcome of a ticket, as reported to peers and callers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Outcome {
     /// Whether its call was run.
     pub ran: Ran,
-    /// True if the matter can still change.
-    pub open: bool,
+    /// True if the outcome can still change.
+    pub pending: bool,
 }
 
 #[derive(Debug)]
-struct Line {
+struct Entry {
     state: State,
     expiry: Millis,
     fingerprint: Option<u64>,
@@ -120,53 +120,53 @@
     sends: u32,
 }
 
-/// The owner's ledger.
+/// The tickets that a node owns.
 #[derive(Debug)]
 pub struct Ledger {
     chart: Chart<State, Trigger>,
-    me: Party,
+    owner: Party,
     secret: u64,
     issued: u32,
     capacity: usize,
-    lines: Map<Nonce, Line>,
+    entries: Map<Nonce, Entry>,
     expiry: BTreeSet<(Millis, Nonce)>,
 }
 
 impl Ledger {
-    /// A ledger of this life of a node, for at most `capacity` tickets.
-    /// `secret` is a random number that no other life has.
-    pub fn new(me: Party, secret: u64, capacity: usize) -> Ledger {
+    /// Creates the ledger of one incarnation of a node, for at most `capacity`
+    /// tickets. `secret` is a random number that no other incarnation has.
+    pub fn new(owner: Party, secret: u64, capacity: usize) -> Ledger {
         Ledger {
-            chart: Chart::parse(CHART).expect("the shipped chart loads"),
-            me,
+            chart: Chart::parse(CHART).expect("the built-in chart is valid"),
+            owner,
             secret,
             issued: 0,
             capacity,
-            lines: Map::default(),
+            entries: Map::default(),
             expiry: BTreeSet::new(),
         }
     }
 
-    /// How many tickets are remembered.
+    /// Returns the number of tickets kept.
     pub fn len(&self) -> usize {
-        self.lines.len()
+        self.entries.len()
     }
 
-    /// True if no ticket is remembered.
+    /// Returns true if no tickets are kept.
     pub fn is_empty(&self) -> bool {
-        self.lines.is_empty()
+        self.entries.is_empty()
     }
 
-    /// How many tickets are being marked or run.
+    /// Returns the number of tickets that are being marked or run.
     pub fn active(&self) -> usize {
-        self.lines.values().filter(|l| is_active(l.state)).count()
+        self.entries.values().filter(|e| is_active(e.state)).count()
     }
 
-    /// Issues a ticket, with the stamp that its witness gave.
+    /// Issues a ticket with a timestamp from its witness.
     ///
     /// # Errors
     ///
-    /// [`Kind::Full`] if the ledger can remember no more.
+    /// [`Kind::Full`] if the ledger is full.
     pub fn issue(
         &mut self,
         now: Millis,
@@ -178,15 +178,15 @@
         let nonce = self.nonce(self.issued.wrapping_add(1));
         self.insert(now, nonce, span)?;
         self.issued = self.issued.wrapping_add(1);
-        Ok(Ticket { owner: self.me, nonce, witness, stamp, span })
+        Ok(Ticket { owner: self.owner, nonce, witness, stamp, span })
     }
 
-    /// Opens the line of a step under a ticket that runs here. Opening it
-    /// again changes nothing.
+    /// Creates the ticket of a step under a ticket that runs here. Repeating
+    /// it for the same step has no effect.
     ///
     /// # Errors
     ///
-    /// [`Kind::Full`] if the ledger can remember no more.
+    /// [`Kind::Full`] if the ledger is full.
     pub fn open_step(
         &mut self,
         now: Millis,
@@ -194,10 +194,10 @@
         step: u32,
     ) -> Result<Ticket, Refusal> {
         let nonce = Nonce(digest::of(&(parent, step, self.secret)));
-        if !self.lines.contains_key(&nonce) {
+        if !self.entries.contains_key(&nonce) {
             self.insert(now, nonce, SPAN_MAX)?;
         }
-        let (owner, span) = (self.me, SPAN_MAX);
+        let (owner, span) = (self.owner, SPAN_MAX);
         Ok(Ticket { owner, nonce, witness: owner, stamp: now, span })
     }
 
@@ -207,15 +207,16 @@
         nonce: Nonce,
         span: Millis,
     ) -> Result<(), Refusal> {
-        if self.lines.len() >= self.capacity || self.lines.contains_key(&nonce)
+        if self.entries.len() >= self.capacity
+            || self.entries.contains_key(&nonce)
         {
-            let next = self.expiry.first().map_or(now, |(at, _)| *at);
-            let wait = next.since(now).max(Millis(250));
+            let next_expiry = self.expiry.first().map_or(now, |(at, _)| *at);
+            let wait = next_expiry.since(now).max(Millis(250));
             let full = Refusal::new(Kind::Full, Ran::No);
             return Err(full.retry_after(wait));
         }
         let expiry = now + span;
-        let line = Line {
+        let entry = Entry {
             state: self.chart.initial(),
             expiry,
             fingerprint: None,
@@ -223,28 +224,30 @@
             kept: false,
             sends: 0,
         };
-        self.lines.insert(nonce, line);
+        self.entries.insert(nonce, entry);
         self.expiry.insert((expiry, nonce));
         Ok(())
     }
 
-    /// A serial number with its check, which tells a made-up ticket from
-    /// one that is no longer remembered. Guards against accidents only.
+    /// Returns the serial number combined with its checksum, which
+    /// distinguishes a forged ticket from an expired one. This guards against
+    /// accidents, not attacks.
     fn nonce(&self, serial: u32) -> Nonce {
         let check = digest::of(&(self.secret, serial)) as u32;
         Nonce(u64::from(serial) << 32 | u64::from(check))
     }
 
-    fn unknown(&self, nonce: Nonce) -> Begin {
+    fn refuse_unknown(&self, nonce: Nonce) -> Begin {
         let serial = (nonce.0 >> 32) as u32;
-        let drawn = (1..=self.issued).contains(&serial);
-        if drawn && self.nonce(serial) == nonce {
+        let in_range = (1..=self.issued).contains(&serial);
+        if in_range && self.nonce(serial) == nonce {
             return refuse(Kind::TicketExpired, Ran::Unknown);
         }
         refuse(Kind::TicketForged, Ran::No)
     }
 
-    /// A caller wants its call run. `fingerprint` tells calls apart.
+    /// Handles a call with a ticket. `fingerprint` identifies the call's
+    /// content.
     pub fn begin(
         &mut self,
         now: Millis,
@@ -252,28 +255,28 @@
         fingerprint: u64,
         waiter: CallId,
     ) -> Begin {
-        if ticket.owner != self.me {
+        if ticket.owner != self.owner {
             return refuse(Kind::TicketForged, Ran::Unknown);
         }
         let next = self.chart.next(State::Issued, Trigger::Begin);
-        let Some(line) = self.lines.get_mut(&ticket.nonce) else {
-            return self.unknown(ticket.nonce);
+        let Some(entry) = self.entries.get_mut(&ticket.nonce) else {
+            return self.refuse_unknown(ticket.nonce);
         };
-        if line.fingerprint.is_some_and(|f| f != fingerprint) {
+        if entry.fingerprint.is_some_and(|f| f != fingerprint) {
             return refuse(Kind::TicketReused, Ran::No);
         }
-        match line.state {
-            State::Issued if now >= line.expiry => {
+        match entry.state {
+            State::Issued if now >= entry.expiry => {
                 refuse(Kind::TicketExpired, Ran::No)
             }
             State::Issued => {
-                line.fingerprint = Some(fingerprint);
-                line.waiters.push(waiter);
-                line.state = next.unwrap_or(line.state);
+                entry.fingerprint = Some(fingerprint);
+                entry.waiters.push(waiter);
+                entry.state = next.unwrap_or(entry.state);
                 Begin::Fresh
             }
-            State::Marking | State::Running => join(line, waiter),
-            State::Done if line.kept => Begin::Replay,
+            State::Marking | State::Running => join(entry, waiter),
+            State::Done if entry.kept => Begin::Replay,
             State::Done => refuse(Kind::AnswerGone, Ran::Yes),
             State::Refused => refuse(Kind::OwnerSilent, Ran::No),
             State::Unknown => refuse(Kind::Broken, Ran::Unknown),
@@ -281,97 +284,99 @@
     }
 
     fn fire(&mut self, nonce: Nonce, trigger: Trigger) -> Vec<CallId> {
-        let Some(line) = self.lines.get_mut(&nonce) else {
+        let Some(entry) = self.entries.get_mut(&nonce) else {
             return Vec::new();
         };
-        let Some(next) = self.chart.next(line.state, trigger) else {
+        let Some(next) = self.chart.next(entry.state, trigger) else {
             return Vec::new();
         };
-        line.state = next;
+        entry.state = next;
         if is_active(next) {
             return Vec::new();
         }
-        std::mem::take(&mut line.waiters)
+        std::mem::take(&mut entry.waiters)
     }
 
-    /// The witness marked the ticket. True if the call must run now: the
-    /// ticket was waiting for this mark and is still honoured.
+    /// The witness marked the ticket. Returns true if the call must run now:
+    /// the ticket was waiting for this mark and has not expired.
     pub fn marked(&mut self, now: Millis, nonce: Nonce) -> bool {
-        let Some(line) = self.lines.get(&nonce) else { return false };
-        if line.state != State::Marking || now >= line.expiry {
+        let Some(entry) = self.entries.get(&nonce) else { return false };
+        if entry.state != State::Marking || now >= entry.expiry {
             return false;
         }
         self.fire(nonce, Trigger::Mark);
         true
     }
 
-    /// The call is sent to a server. Returns how often, this time included.
+    /// The call is sent to a server. Returns the number of sends, including
+    /// this one.
     pub fn sent(&mut self, nonce: Nonce) -> u32 {
-        let Some(line) = self.lines.get_mut(&nonce) else { return 0 };
-        line.sends += 1;
-        line.sends
+        let Some(entry) = self.entries.get_mut(&nonce) else { return 0 };
+        entry.sends += 1;
+        entry.sends
     }
 
-    /// The call was not run and this ticket may be begun again, as after a
-    /// refusal before the mark. Returns who waited.
+    /// The call was not run, for example because it was refused before the
+    /// mark, and the ticket may begin again. Returns the waiters.
     pub fn withdraw(&mut self, nonce: Nonce) -> Vec<CallId> {
         self.fire(nonce, Trigger::Withdraw)
     }
 
-    /// The witness set a tombstone: the call never runs. Returns who waited.
+    /// The witness set a tombstone: the call never runs. Returns the waiters.
     pub fn tombstoned(&mut self, nonce: Nonce) -> Vec<CallId> {
         self.fire(nonce, Trigger::Tombstone)
     }
 
-    /// The call ran and answered; `kept` if the answer can be replayed.
-    /// Returns who waited.
+    /// The call ran and was answered. `kept` tells whether the answer can be
+    /// replayed. Returns the waiters.
     pub fn answered(&mut self, nonce: Nonce, kept: bool) -> Vec<CallId> {
         let waiters = self.fire(nonce, Trigger::Answer);
-        if let Some(line) = self.lines.get_mut(&nonce) {
-            line.kept = kept && line.state == State::Done;
+        if let Some(entry) = self.entries.get_mut(&nonce) {
+            entry.kept = kept && entry.state == State::Done;
         }
         waiters
     }
 
-    /// The call was proved not run after it had been sent. Returns who
-    /// waited.
+    /// The call was sent but is known not to have run. Returns the waiters.
     pub fn not_run(&mut self, nonce: Nonce) -> Vec<CallId> {
         self.fire(nonce, Trigger::NotRun)
     }
 
-    /// Nobody can tell whether the call ran. Returns who waited.
+    /// It is unknown whether the call ran. Returns the waiters.
     pub fn lost(&mut self, nonce: Nonce) -> Vec<CallId> {
         self.fire(nonce, Trigger::Lose)
     }
 
-    /// A waiter went away. The call goes on.
-    pub fn leave(&mut self, nonce: Nonce, waiter: CallId) {
-        if let Some(line) = self.lines.get_mut(&nonce) {
-            line.waiters.retain(|w| *w != waiter);
+    /// Removes a waiter that went away. The call continues.
+    pub fn remove_waiter(&mut self, nonce: Nonce, waiter: CallId) {
+        if let Some(entry) = self.entries.get_mut(&nonce) {
+            entry.waiters.retain(|w| *w != waiter);
         }
     }
 
-    /// Who waits for a ticket.
+    /// Returns the calls that wait for a ticket.
     pub fn waiters(&self, nonce: Nonce) -> &[CallId] {
-        self.lines.get(&nonce).map_or(&[], |line| &line.waiters)
+        self.entries.get(&nonce).map_or(&[], |entry| &entry.waiters)
     }
 
-    /// What became of a ticket of this owner; `None` if it is not known.
+    /// Returns the outcome of a ticket; `None` if it is not known.
     pub fn outcome(&self, now: Millis, nonce: Nonce) -> Option<Outcome> {
-        let line = self.lines.get(&nonce)?;
-        let outcome = match line.state {
-            State::Issued => Outcome { ran: Ran::No, open: now < line.expiry },
-            State::Marking => Outcome { ran: Ran::No, open: true },
-            State::Running => Outcome { ran: Ran::Unknown, open: true },
-            State::Refused => Outcome { ran: Ran::No, open: false },
-            State::Done => Outcome { ran: Ran::Yes, open: false },
-            State::Unknown => Outcome { ran: Ran::Unknown, open: false },
+        let entry = self.entries.get(&nonce)?;
+        let outcome = match entry.state {
+            State::Issued => {
+                Outcome { ran: Ran::No, pending: now < entry.expiry }
+            }
+            State::Marking => Outcome { ran: Ran::No, pending: true },
+            State::Running => Outcome { ran: Ran::Unknown, pending: true },
+            State::Refused => Outcome { ran: Ran::No, pending: false },
+            State::Done => Outcome { ran: Ran::Yes, pending: false },
+            State::Unknown => Outcome { ran: Ran::Unknown, pending: false },
         };
         Some(outcome)
     }
 
-    /// Drops one ticket that is past its span and settled, and returns its
-    /// nonce so that a kept answer can be dropped too.
+    /// Removes one expired ticket whose call is not in progress and returns
+    /// its nonce, so that a stored answer can be removed too.
     pub fn expire(&mut self, now: Millis) -> Option<Nonce> {
         loop {
             let (at, nonce) = *self.expiry.first()?;
@@ -379,14 +384,14 @@
                 return None;
             }
             self.expiry.remove(&(at, nonce));
-            let line = self.lines.get(&nonce)?;
-            let settled = line.expiry + AFTERLIFE <= now;
-            if is_active(line.state) || !settled {
-                let later = now + AFTERLIFE;
+            let entry = self.entries.get(&nonce)?;
+            let settled = entry.expiry + SETTLED_RETENTION <= now;
+            if is_active(entry.state) || !settled {
+                let later = now + SETTLED_RETENTION;
                 self.expiry.insert((later, nonce));
                 continue;
             }
-            self.lines.remove(&nonce);
+            self.entries.remove(&nonce);
             return Some(nonce);
         }
     }
@@ -400,12 +405,12 @@
     Begin::Refuse(Refusal::new(kind, ran))
 }
 
-fn join(line: &mut Line, waiter: CallId) -> Begin {
-    if line.waiters.len() >= WAITERS_MAX {
-        // This caller is refused; the call itself goes on.
+fn join(entry: &mut Entry, waiter: CallId) -> Begin {
+    if entry.waiters.len() >= WAITERS_MAX {
+        // Only this caller is refused; the call itself continues.
         let full = Refusal::new(Kind::Full, Ran::Unknown);
         return Begin::Refuse(full.retry_after(Millis(1_000)));
     }
-    line.waiters.push(waiter);
+    entry.waiters.push(waiter);
     Begin::Joined
 }
--- a/crates/walnutmoor-core/src/platform.rs
+++ b/crates/walnutmoor-core/src/platform.rs
@@ -1,10 +1,11 @@
 /*!
-The platform's object API as the core sees it: requests out, replies in.
+The platform's object store as seen by the core: requests and replies.
 
-The platform keeps named objects with a version each. A write names the
-version that it replaces and fails if another write came first. Every reply
-can be lost, also after a write took effect; a lost reply is [`Reply::Down`],
-and whoever asked must read back before telling anyone anything.
+The platform stores named objects, each with a version. A write names the
+version that it replaces and fails if the object changed in the meantime. Every
+reply can be lost, also after a write took effect; a lost reply is
+[`Reply::Unavailable`], after which the object must be read again to learn
+whether the write took effect.
 */
 
 use std::fmt;
@@ -19,7 +20,7 @@
 pub struct Key(pub String);
 
 impl Key {
-    /// The one object that holds the configuration.
+    /// Returns the key of the object that holds the configuration.
     pub fn config() -> Key {
         Key("config".to_string())
     }
@@ -31,7 +32,8 @@
     }
 }
 
-/// The version of an object, chosen by the platform, larger at each write.
+/// The version of an object, assigned by the platform and increased by each
+/// write.
 #[derive(
     Clone,
     Copy,
@@ -57,16 +59,16 @@
     pub value: String,
 }
 
-/// The longest value that the platform holds, in bytes.
+/// The maximum length of a value, in bytes.
 pub const VALUE_MAX: usize = 1 << 20;
 
-/// What the core asks of the platform.
+/// A request to the platform.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Request {
     /// Reads an object.
     Get {
-        /// Which.
+        /// The object.
         key: Key,
     },
     /// Reads all objects whose key starts with a prefix.
@@ -74,31 +76,31 @@
         /// The prefix.
         prefix: Key,
     },
-    /// Writes an object if its version is still the one named.
+    /// Writes an object if it still has the given version.
     Put {
-        /// Which.
+        /// The object.
         key: Key,
         /// The version to replace; `None` if the object must not exist.
         base: Option<Version>,
         /// The new value.
         value: String,
     },
-    /// Waits until an object has another version than the one named.
+    /// Waits until the version of an object differs from the given one.
     Watch {
-        /// Which.
+        /// The object.
         key: Key,
-        /// The version that is known already.
+        /// The last known version.
         known: Option<Version>,
     },
 }
 
-/// What the platform says.
+/// A reply of the platform.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reply {
-    /// The object as it is now.
+    /// The object.
     Found(Object),
-    /// There is no such object.
+    /// The object does not exist.
     Absent,
     /// All objects under the prefix.
     Listed(Vec<(Key, Object)>),
@@ -106,8 +108,9 @@
     Written(Version),
     /// The object had another version; nothing was written.
     Conflict,
-    /// A watch ended with nothing new.
+    /// The watch ended without a change.
     Unchanged,
-    /// No answer. A write may or may not have taken effect.
-    Down,
+    /// No reply. A write may or may not have taken effect.
+    #[serde(rename = "down")]
+    Unavailable,
 }
--- a/crates/walnutmoor-core/src/queue.rs
+++ b/crates/walnutmoor-core/src/queue.rs
@@ -1,144 +1,144 @@
 /*!
-A short queue in front of a backend server, ordered by key, then deadline.
+A bounded queue in front of a backend server, ordered by key, then deadline.
 
-The queue is bounded in entries and in time. A full queue gives up its
-lowest-ranked entry, which may be the newcomer. An entry that has waited as
-long as the server lets one wait, or whose deadline can no longer be met,
-leaves at once, whatever its rank.
+A full queue evicts its lowest-ranked entry, which may be the new one. An entry
+that has waited for the maximum wait, or whose deadline can no longer be met,
+is removed at once, whatever its rank.
 
-The crate's front page has an example.
+See the crate documentation for an example.
 */
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{class::Key, digest::Map, id::CallId, time::Millis};
 
-/// A call that waits.
+/// A queued call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Entry {
-    /// Which call.
+    /// The call.
     pub call: CallId,
-    /// Its place in the order of refusal.
+    /// Its priority; a larger key is refused earlier.
     pub key: Key,
-    /// When its answer is due.
+    /// The deadline for its response.
     pub deadline: Millis,
-    /// When it came.
-    pub since: Millis,
+    /// When it was queued.
+    pub queued_at: Millis,
 }
 
-type Place = (Key, Millis, CallId);
+type SortKey = (Key, Millis, CallId);
 
 impl Entry {
-    fn place(&self) -> Place {
+    fn sort_key(&self) -> SortKey {
         (self.key, self.deadline, self.call)
     }
 }
 
-/// The queue.
+/// A bounded priority queue of calls.
 #[derive(Debug)]
 pub struct Queue {
     capacity: usize,
-    order: BTreeMap<Place, Entry>,
-    since: BTreeSet<(Millis, CallId)>,
-    deadlines: BTreeSet<(Millis, CallId)>,
-    places: Map<CallId, Place>,
+    order: BTreeMap<SortKey, Entry>,
+    by_arrival: BTreeSet<(Millis, CallId)>,
+    by_deadline: BTreeSet<(Millis, CallId)>,
+    sort_keys: Map<CallId, SortKey>,
 }
 
 impl Queue {
-    /// A queue for at most `capacity` entries.
+    /// Creates a queue for at most `capacity` entries.
     pub fn new(capacity: usize) -> Queue {
         Queue {
             capacity,
             order: BTreeMap::new(),
-            since: BTreeSet::new(),
-            deadlines: BTreeSet::new(),
-            places: Map::default(),
+            by_arrival: BTreeSet::new(),
+            by_deadline: BTreeSet::new(),
+            sort_keys: Map::default(),
         }
     }
 
-    /// How many entries wait.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.order.len()
     }
 
-    /// True if nothing waits.
+    /// Returns true if the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
-    /// Changes the bound. Entries above a smaller bound stay until they
-    /// leave by themselves or are pushed out.
+    /// Changes the capacity. Entries above a smaller capacity stay until they
+    /// are popped, expire or are evicted.
     pub fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity;
     }
 
-    /// Adds an entry. A full queue gives up its lowest entry: either one
-    /// inside, which is returned, or the newcomer.
+    /// Adds an entry. A full queue evicts its lowest-ranked entry and returns
+    /// it.
     ///
     /// # Errors
     ///
-    /// The newcomer, if nothing inside ranks below it.
+    /// Returns the new entry if the queue is full and no entry ranks below it.
     pub fn push(&mut self, entry: Entry) -> Result<Option<Entry>, Entry> {
         let mut evicted = None;
         if self.order.len() >= self.capacity {
             let lowest = self.order.last_key_value().map(|(_, e)| *e);
             match lowest {
-                Some(last) if last.place() > entry.place() => {
+                Some(last) if last.sort_key() > entry.sort_key() => {
                     evicted = self.remove(last.call);
                 }
                 _ => return Err(entry),
             }
         }
-        self.order.insert(entry.place(), entry);
-        self.since.insert((entry.since, entry.call));
-        self.deadlines.insert((entry.deadline, entry.call));
-        self.places.insert(entry.call, entry.place());
+        self.order.insert(entry.sort_key(), entry);
+        self.by_arrival.insert((entry.queued_at, entry.call));
+        self.by_deadline.insert((entry.deadline, entry.call));
+        self.sort_keys.insert(entry.call, entry.sort_key());
         Ok(evicted)
     }
 
-    /// Takes out the most important entry.
+    /// Removes and returns the highest-ranked entry.
     pub fn pop(&mut self) -> Option<Entry> {
         let (_, entry) = self.order.first_key_value()?;
         let call = entry.call;
         self.remove(call)
     }
 
-    /// Takes out one entry.
+    /// Removes and returns the entry of a call.
     pub fn remove(&mut self, call: CallId) -> Option<Entry> {
-        let place = self.places.remove(&call)?;
-        let entry = self.order.remove(&place)?;
-        self.since.remove(&(entry.since, call));
-        self.deadlines.remove(&(entry.deadline, call));
+        let sort_key = self.sort_keys.remove(&call)?;
+        let entry = self.order.remove(&sort_key)?;
+        self.by_arrival.remove(&(entry.queued_at, call));
+        self.by_deadline.remove(&(entry.deadline, call));
         Some(entry)
     }
 
-    /// Takes out one entry that has waited for `patience`, or whose
-    /// deadline is nearer than the `least` time that an answer takes.
+    /// Removes and returns one entry that has waited for `max_wait`, or whose
+    /// deadline is nearer than `min_response_time`.
     ///
-    /// Both spans are given anew each time: were they fixed on arrival, a
-    /// server that turned slow would lose its whole queue before the first
-    /// place came free.
+    /// Both bounds are passed on each call rather than fixed on arrival, as
+    /// they change with the speed of the server.
     pub fn expire(
         &mut self,
         now: Millis,
-        patience: Millis,
-        least: Millis,
+        max_wait: Millis,
+        min_response_time: Millis,
     ) -> Option<Entry> {
-        let tired = self.since.first().filter(|(t, _)| *t + patience <= now);
-        let doomed = self.deadlines.first();
-        let doomed = doomed.filter(|(t, _)| *t <= now + least);
-        let (_, call) = *tired.or(doomed)?;
+        let timed_out =
+            self.by_arrival.first().filter(|(t, _)| *t + max_wait <= now);
+        let late = self.by_deadline.first();
+        let late = late.filter(|(t, _)| *t <= now + min_response_time);
+        let (_, call) = *timed_out.or(late)?;
         self.remove(call)
     }
 
-    /// When the next entry expires, with these spans.
+    /// Returns when the next entry expires under these bounds.
     pub fn next_expiry(
         &self,
-        patience: Millis,
-        least: Millis,
+        max_wait: Millis,
+        min_response_time: Millis,
     ) -> Option<Millis> {
-        let tired = self.since.first().map(|(t, _)| *t + patience);
-        let doomed = self.deadlines.first().map(|(t, _)| t.since(least));
-        [tired, doomed].into_iter().flatten().min()
+        let timed_out = self.by_arrival.first().map(|(t, _)| *t + max_wait);
+        let late =
+            self.by_deadline.first().map(|(t, _)| t.since(min_response_time));
+        [timed_out, late].into_iter().flatten().min()
     }
 }
--- a/crates/walnutmoor-core/src/retry.rs
+++ b/crates/walnutmoor-core/src/retry.rs
@@ -1,16 +1,16 @@
 /*!
-Retries, bounded twice: by one budget for the whole request and by a share
-of first attempts for each pair of services.
+Retry limits: a budget for each request and a token bucket for each pair of
+services.
 
-The [`Budget`] travels with the request. A hop hands part of what is left to
-each deeper call and takes the unspent rest back with the answer, so that
-nothing multiplies by layer. A caller's own repeats count too: its n-th
-attempt starts with n - 1 fewer.
+The [`Budget`] travels with the request. Each hop gives part of what is left to
+its nested calls and gets the unspent rest back with the response, so retries
+do not multiply across layers. Repeated attempts of a caller count too: the
+n-th attempt starts with n - 1 retries fewer.
 
-The [`Share`] is a bucket of tokens for calls from one service to another.
-Each first attempt fills in a tenth of a token and each retry takes a whole
-one, so that retries are at most 10% of the traffic however many requests
-would each have budget left (the client throttling of gRPC works alike).
+The [`Throttle`] holds a token bucket for the calls from one service to
+another. Each first attempt adds a tenth of a token and each retry takes a
+whole one, so that retries are at most 10% of the traffic, similar to the retry
+throttling of gRPC.
 
 # Example
 
@@ -29,7 +29,7 @@
 
 use crate::{digest::Map, id::Service};
 
-/// The retries that a whole request has left.
+/// The retries left for a request and all its nested calls.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize,
 )]
@@ -37,78 +37,84 @@
 pub struct Budget(u8);
 
 impl Budget {
-    /// The budget of a caller's n-th attempt (from 1) at a request that has
-    /// `retries` in all.
+    /// Returns the budget of a caller's n-th attempt (from 1) at a request
+    /// that has `retries` in total.
     pub fn of_attempt(attempt: u32, retries: u8) -> Budget {
         let spent = attempt.saturating_sub(1).min(u32::from(u8::MAX)) as u8;
         Budget(retries.saturating_sub(spent))
     }
 
-    /// The number that a caller's next attempt should name, if this is
-    /// what is left: whatever nodes spent is spent for the caller too.
+    /// Returns the number that a caller must give its next attempt if `left`
+    /// retries remain. Retries that nodes spent count as attempts of the
+    /// caller.
     pub fn next_attempt(left: u8, retries: u8) -> u32 {
         u32::from(retries.saturating_sub(left)) + 2
     }
 
-    /// How many retries are left.
+    /// Returns the number of retries left.
     pub fn left(self) -> u8 {
         self.0
     }
 
-    /// Spends one retry. False if none is left.
+    /// Spends one retry. Returns false if none is left.
     pub fn spend(&mut self) -> bool {
-        let some = self.0 > 0;
+        let available = self.0 > 0;
         self.0 = self.0.saturating_sub(1);
-        some
+        available
     }
 
-    /// Takes out the larger half, for one deeper call.
+    /// Splits off the larger half for a nested call.
     pub fn split(&mut self) -> Budget {
         let given = self.0 - self.0 / 2;
         self.0 -= given;
         Budget(given)
     }
 
-    /// Takes back what a deeper call did not spend.
+    /// Returns the retries that a nested call did not spend to this budget.
     pub fn give_back(&mut self, unspent: u8) {
         self.0 = self.0.saturating_add(unspent);
     }
 }
 
-/// What one first attempt adds to a pair's tokens.
-const PER_FIRST: f64 = 0.1;
+/// Tokens added by each first attempt.
+const TOKENS_PER_FIRST_ATTEMPT: f64 = 0.1;
 
-/// The most tokens a pair saves up.
+/// The maximum number of tokens of a pair.
 const TOKENS_MAX: f64 = 10.0;
 
-/// The most pairs remembered. Others may not retry.
+/// The maximum number of pairs kept. Other pairs may not retry.
 const PAIRS_MAX: usize = 4_096;
 
-/// Retries as a share of first attempts, for each pair of services.
+/// Limits retries to a share of the first attempts, for each pair of services.
 #[derive(Debug, Default)]
-pub struct Share {
+pub struct Throttle {
     tokens: Map<(Option<Service>, Service), f64>,
 }
 
-impl Share {
-    /// No pairs yet.
-    pub fn new() -> Share {
-        Share::default()
+impl Throttle {
+    /// Creates a throttle without any pairs.
+    pub fn new() -> Throttle {
+        Throttle::default()
     }
 
-    /// Counts a first attempt from one service (`None`: a caller) to
-    /// another.
-    pub fn first(&mut self, from: Option<&Service>, to: &Service) {
+    /// Counts a first attempt from one service to another; `from` is `None`
+    /// for an external caller.
+    pub fn record_first_attempt(
+        &mut self,
+        from: Option<&Service>,
+        to: &Service,
+    ) {
         let pair = (from.cloned(), to.clone());
         if let Some(tokens) = self.tokens.get_mut(&pair) {
-            *tokens = (*tokens + PER_FIRST).min(TOKENS_MAX);
+            *tokens = (*tokens + TOKENS_PER_FIRST_ATTEMPT).min(TOKENS_MAX);
         } else if self.tokens.len() < PAIRS_MAX {
-            // A fresh pair may retry once, or a quiet one never could.
-            self.tokens.insert(pair, 1.0 + PER_FIRST);
+            // Start with one token, so that a pair with little traffic can
+            // retry.
+            self.tokens.insert(pair, 1.0 + TOKENS_PER_FIRST_ATTEMPT);
         }
     }
 
-    /// Spends a token on a retry. False if the pair has none.
+    /// Spends a token for a retry. Returns false if the pair has none.
     pub fn try_retry(&mut self, from: Option<&Service>, to: &Service) -> bool {
         let pair = (from.cloned(), to.clone());
         match self.tokens.get_mut(&pair) {
--- a/crates/walnutmoor-core/src/server.rs
+++ b/crates/walnutmoor-core/src/server.rs
@@ -1,10 +1,10 @@
 /*!
-The life of the backend server beside this node: announced, warming,
+The lifecycle of the backend server beside this node: announced, warming,
 serving, draining, gone.
 
-The chart `charts/server.yaml` is interpreted. A server is announced by its
-settings or by a call on the loopback; it warms up for the span it names, and
-it drains when it says so or when its node is told to stop.
+The states follow the chart `charts/server.yaml`. A server is announced by the
+settings or by a call on the loopback interface. It warms up for the time that
+it announced, and drains when it asks to or when its node is told to stop.
 
 # Example
 
@@ -21,7 +21,7 @@
 assert_eq!(server.state(), State::Warming);
 server.tick(Millis(1_000));
 assert_eq!(server.state(), State::Serving);
-server.leave();
+server.drain();
 assert!(!server.accepts());
 ```
 */
@@ -35,7 +35,7 @@
 };
 
 symbols! {
-    /// Where a backend server is in its life.
+    /// The state of a backend server.
     pub enum State {
         Warming = "warming",
         Serving = "serving",
@@ -45,7 +45,7 @@
 }
 
 symbols! {
-    /// What moves a backend server along.
+    /// An event that changes the state of a backend server.
     pub enum Trigger {
         Announce = "announce",
         Warm = "warm",
@@ -54,27 +54,27 @@
     }
 }
 
-/// The chart as shipped.
+/// The state chart of a backend server.
 pub const CHART: &str = include_str!("../charts/server.yaml");
 
-/// What a backend server says of itself.
+/// The announcement of a backend server.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
-    /// The service it offers.
+    /// The service it provides.
     pub service: Service,
-    /// How many calls it runs at a time.
+    /// How many calls it runs concurrently.
     pub slots: u32,
     /// How many connections it accepts.
     pub connections: u32,
-    /// How long a cold start takes.
+    /// How long it warms up after a cold start.
     #[serde(default)]
     pub warmup: Millis,
 }
 
 impl Announcement {
-    /// The most calls that may be on their way to it at a time.
-    pub fn places(&self) -> u32 {
+    /// Returns how many calls may be sent to it concurrently.
+    pub fn max_concurrency(&self) -> u32 {
         self.slots.min(self.connections).max(1)
     }
 }
@@ -85,7 +85,7 @@
     chart: Chart<State, Trigger>,
     state: State,
     announced: Option<Announcement>,
-    since: Millis,
+    announced_at: Millis,
 }
 
 impl Default for Server {
@@ -95,72 +95,79 @@
 }
 
 impl Server {
-    /// No server yet.
+    /// Creates a server that has not been announced.
     pub fn new() -> Server {
-        let chart = Chart::parse(CHART).expect("the shipped chart loads");
+        let chart = Chart::parse(CHART).expect("the built-in chart is valid");
         let state = chart.initial();
-        Server { chart, state, announced: None, since: Millis(0) }
+        Server { chart, state, announced: None, announced_at: Millis(0) }
     }
 
     fn fire(&mut self, trigger: Trigger) -> bool {
         let Some(next) = self.chart.next(self.state, trigger) else {
             return false;
         };
-        let moved = next != self.state;
+        let changed = next != self.state;
         self.state = next;
-        moved
+        changed
     }
 
-    /// The server says what it is. Returns true if its state changed.
-    pub fn announce(&mut self, now: Millis, what: Announcement) -> bool {
+    /// Records an announcement. Returns true if the state changed.
+    pub fn announce(
+        &mut self,
+        now: Millis,
+        announcement: Announcement,
+    ) -> bool {
         if self.state == State::Gone {
-            self.since = now;
+            self.announced_at = now;
         }
-        let moved = self.fire(Trigger::Announce);
+        let changed = self.fire(Trigger::Announce);
         if self.state != State::Draining {
-            self.announced = Some(what);
+            self.announced = Some(announcement);
         }
-        moved
+        changed
     }
 
-    /// The server, or its node, is about to leave.
-    pub fn leave(&mut self) -> bool {
+    /// Starts draining, because the server or its node shuts down. Returns
+    /// true if the state changed.
+    pub fn drain(&mut self) -> bool {
         self.fire(Trigger::Leave)
     }
 
-    /// Nothing is in flight any more.
-    pub fn idle(&mut self) -> bool {
+    /// Ends draining, once no calls are in flight. Returns true if the state
+    /// changed.
+    pub fn finish_drain(&mut self) -> bool {
         self.fire(Trigger::Idle)
     }
 
-    /// Ends the warm-up once its span has passed.
+    /// Ends the warm-up once its time has passed. Returns true if the state
+    /// changed.
     pub fn tick(&mut self, now: Millis) -> bool {
         let span = self.announced.as_ref().map_or(Millis(0), |a| a.warmup);
-        let warm = now.since(self.since) >= span;
-        self.state == State::Warming && warm && self.fire(Trigger::Warm)
+        let is_warm = now.since(self.announced_at) >= span;
+        self.state == State::Warming && is_warm && self.fire(Trigger::Warm)
     }
 
-    /// Where it is in its life.
+    /// Returns the current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// What it said of itself, if it is not gone.
+    /// Returns its announcement; `None` if the server is gone.
     pub fn announced(&self) -> Option<&Announcement> {
         self.announced.as_ref().filter(|_| self.state != State::Gone)
     }
 
-    /// True while it takes new work.
+    /// Returns true if it accepts new calls.
     pub fn accepts(&self) -> bool {
         matches!(self.state, State::Warming | State::Serving)
     }
 
-    /// How far the warm-up has come, from 0 to 1.
-    pub fn warmth(&self, now: Millis) -> f64 {
+    /// Returns the warm-up progress, from 0 to 1.
+    pub fn warmup_progress(&self, now: Millis) -> f64 {
         let span = self.announced.as_ref().map_or(Millis(0), |a| a.warmup);
         if self.state != State::Warming || span == Millis(0) {
             return 1.0;
         }
-        (now.since(self.since).secs() / span.secs()).min(1.0)
+        (now.since(self.announced_at).secs() / span.secs()).min(1.0)
     }
 }
--- a/crates/walnutmoor-core/src/ticket.rs
+++ b/crates/walnutmoor-core/src/ticket.rs
@@ -1,11 +1,11 @@
 /*!
-Tickets: the right to run one call at most once.
+Tickets: permission to run one call at most once.
 
-A ticket names its owner and its witness, each with its incarnation, a nonce,
-a stamp of the witness's clock, and the span for which the owner honours it.
-The stamp tells the witness how old a ticket is at most, by its own clock:
-no two clocks are ever compared. It is issued before
-anything runs, so a lost ticket costs nothing.
+A ticket names its owner and its witness, each with its incarnation, a nonce, a
+timestamp from the witness's clock, and the span for which the owner accepts
+it. The timestamp bounds the age of the ticket by the witness's own clock, so
+clocks of different nodes are never compared. A ticket is issued before
+anything runs, so losing one has no effect.
 
 # Example
 
@@ -28,7 +28,7 @@
     time::Millis,
 };
 
-/// The random part of a ticket, or its step under a parent's.
+/// Identifies a ticket of one owner, or a step under its parent's ticket.
 #[derive(
     Clone,
     Copy,
@@ -50,37 +50,37 @@
     }
 }
 
-/// The longest span for which an owner honours a ticket.
+/// The maximum span for which an owner accepts a ticket.
 pub const SPAN_MAX: Millis = Millis(60_000);
 
-/// How old a stamp may be when an owner puts it into a ticket.
-pub const STAMP_MAX: Millis = Millis(15_000);
+/// The maximum age of a witness timestamp that an owner puts into a ticket.
+pub const STAMP_AGE_MAX: Millis = Millis(15_000);
 
-/// How long after its stamp a witness can tell of a ticket: the time until
-/// the ticket is issued, its span, and as much again for a late question.
-pub const TELLS: Millis = Millis(150_000);
+/// How long after its timestamp a witness remembers a ticket: the time until
+/// the ticket is issued, its span, and the same again for late queries.
+pub const WITNESS_RETENTION: Millis = Millis(150_000);
 
-/// One life of one node.
+/// One incarnation of a node.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 pub struct Party {
     /// The node.
     pub node: NodeId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
 }
 
-/// The right to run one call at most once.
+/// Permission to run one call at most once.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 pub struct Ticket {
     /// The only node that may run the call.
     pub owner: Party,
-    /// The random part.
+    /// The nonce, chosen by the owner.
     pub nonce: Nonce,
-    /// The node that settles what a silent owner did.
+    /// The node that decides the outcome if the owner is unreachable.
     pub witness: Party,
-    /// The witness's clock, shortly before the issue.
+    /// A timestamp from the witness's clock, from shortly before the issue.
     pub stamp: Millis,
-    /// How long the owner honours the ticket, from its issue.
+    /// How long the owner accepts the ticket after issuing it.
     pub span: Millis,
 }
 
@@ -115,8 +115,8 @@
     let witness = party(&mut parts)?;
     let stamp = Millis(parts.next()?.parse().ok()?);
     let span = Millis(parts.next()?.parse().ok()?);
-    let whole = parts.next().is_none();
-    whole.then_some(Ticket { owner, nonce, witness, stamp, span })
+    let complete = parts.next().is_none();
+    complete.then_some(Ticket { owner, nonce, witness, stamp, span })
 }
 
 fn party<'a>(parts: &mut impl Iterator<Item = &'a str>) -> Option<Party> {
--- a/crates/walnutmoor-core/src/witness.rs
+++ b/crates/walnutmoor-core/src/witness.rs
@@ -1,20 +1,18 @@
 /*!
-The witness's side of at-most-once: a bounded table of marks and tombstones.
-
-Before an owner runs a ticket's call it gets a mark from the witness. Anyone
-who finds the owner silent may ask the witness, which then sets a tombstone
-unless there is a mark. Whichever comes first stays: after a tombstone the
-owner is refused its mark, so *not run* is true even of an owner that was
-only paused. A witness that restarted refuses everything of its former life
-and says that it cannot tell.
-
-A ticket carries a stamp of this witness's clock from shortly before its
-issue. An entry goes when the stamp is older than [`TELLS`], and from the same
-instant the witness says of that ticket that it cannot tell. So nothing that
-it once knew is ever taken for nothing, and an owner whose own clock stood
-still gets no mark for an old ticket. Keeping entries for a span from when
-they were set was tried first: fuzzing found a ticket that had run, and whose
-mark was forgotten, told as *not run*.
+At-most-once execution, witness side: a bounded table of marks and tombstones.
+
+Before an owner runs the call of a ticket it gets a mark from the witness. Any
+node that finds the owner unreachable may ask the witness to resolve the
+ticket; the witness sets a tombstone unless there is a mark. The first entry is
+final: after a tombstone the owner gets no mark, so *not run* holds even if the
+owner was only paused. A witness that restarted cannot tell the outcome of
+tickets of its previous incarnation and marks none of them.
+
+A ticket carries a timestamp of the witness's clock from shortly before its
+issue. An entry is removed when the timestamp is older than
+[`WITNESS_RETENTION`], and from then on the witness reports the ticket as
+unknown. An entry must not expire relative to when it was set: a ticket that
+ran could then be reported as *not run* after its mark was removed.
 
 # Example
 
@@ -24,7 +22,7 @@
 let ticket: Ticket =
     "10.0.0.1:7402~1f~9c~10.0.1.1:7402~2e~0~60000".parse().unwrap();
 let mut table = Table::new(ticket.witness, 100);
-assert_eq!(table.ask(Millis(0), &ticket), Verdict::Tombstone);
+assert_eq!(table.resolve(Millis(0), &ticket), Verdict::Tombstone);
 assert_eq!(table.mark(Millis(9), &ticket), Verdict::Tombstone);
 ```
 */
@@ -36,72 +34,76 @@
 use crate::{
     digest::Map,
     id::{Incarnation, NodeId},
-    ticket::{Nonce, Party, TELLS, Ticket},
+    ticket::{Nonce, Party, Ticket, WITNESS_RETENTION},
     time::Millis,
 };
 
-/// What a witness says.
+/// The response of a witness.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum Verdict {
-    /// The owner has its mark: the call may have run, or may yet.
+    /// The ticket is marked: the call may have run, or may still run.
     Mark,
-    /// The owner has no mark and will not get one: the call does not run.
+    /// The ticket has a tombstone: the call never runs.
     Tombstone,
-    /// The ticket names another life of this node, or is too old: it cannot
-    /// tell.
-    Stranger,
-    /// The table is full: nothing was set.
+    /// The ticket names another incarnation of this node, or its timestamp is
+    /// too old or in the future: the outcome is unknown.
+    #[serde(rename = "Stranger")]
+    Unknown,
+    /// The table is full: no entry was set.
     Full,
 }
 
-type Id = (NodeId, Incarnation, Nonce);
+type EntryId = (NodeId, Incarnation, Nonce);
 
-/// The table of marks and tombstones.
+/// Marks and tombstones of tickets.
 #[derive(Debug)]
 pub struct Table {
-    me: Party,
+    witness: Party,
     capacity: usize,
-    entries: Map<Id, Verdict>,
-    expiry: BTreeSet<(Millis, Id)>,
+    entries: Map<EntryId, Verdict>,
+    expiry: BTreeSet<(Millis, EntryId)>,
 }
 
 impl Table {
-    /// A table of this life of a node, for at most `capacity` entries.
-    pub fn new(me: Party, capacity: usize) -> Table {
+    /// Creates the table of one incarnation of a node, for at most `capacity`
+    /// entries.
+    pub fn new(witness: Party, capacity: usize) -> Table {
         Table {
-            me,
+            witness,
             capacity,
             entries: Map::default(),
             expiry: BTreeSet::new(),
         }
     }
 
-    /// How many entries are kept.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// True if there are no entries.
+    /// Returns true if there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// An owner asks for its mark. Asking again is harmless.
+    /// Sets the mark that the owner needs before it runs the call, unless
+    /// there is an entry. Idempotent.
     pub fn mark(&mut self, now: Millis, ticket: &Ticket) -> Verdict {
         self.set(now, ticket, Verdict::Mark)
     }
 
-    /// Somebody found the owner silent.
-    pub fn ask(&mut self, now: Millis, ticket: &Ticket) -> Verdict {
+    /// Resolves a ticket whose owner is unreachable: sets a tombstone unless
+    /// there is an entry. Idempotent.
+    pub fn resolve(&mut self, now: Millis, ticket: &Ticket) -> Verdict {
         self.set(now, ticket, Verdict::Tombstone)
     }
 
     fn set(&mut self, now: Millis, ticket: &Ticket, new: Verdict) -> Verdict {
         self.expire(now);
-        let until = ticket.stamp + TELLS;
-        let ahead = ticket.stamp > now;
-        if ticket.witness != self.me || until <= now || ahead {
-            return Verdict::Stranger;
+        let until = ticket.stamp + WITNESS_RETENTION;
+        let is_future = ticket.stamp > now;
+        if ticket.witness != self.witness || until <= now || is_future {
+            return Verdict::Unknown;
         }
         let owner = ticket.owner;
         let id = (owner.node, owner.incarnation, ticket.nonce);
--- a/crates/walnutmoor-core/tests/guards.rs
+++ b/crates/walnutmoor-core/tests/guards.rs
@@ -1,10 +1,10 @@
-//! Guards that a random walk seldom meets, each brought about directly.
+//! Tests of safety checks that the randomized tests rarely reach.
 
 mod net;
 
 use walnutmoor_core::{
     admit::Level,
-    call::{Envelope, Leg},
+    call::{Envelope, Role},
     class::{Key, Kind},
     config::Config,
     directory::{Record, Status},
@@ -17,7 +17,7 @@
     platform::{Object, Reply, Version},
     retry::Budget,
     server::Announcement,
-    ticket::{Party, TELLS, Ticket},
+    ticket::{Party, Ticket, WITNESS_RETENTION},
     time::Millis,
     witness::{Table, Verdict},
 };
@@ -26,20 +26,20 @@
     "10.0.0.1:7402".parse().unwrap()
 }
 
-/// A node beside a server with one slot, and what it did so far.
+/// A node with a one-slot server, and its incarnation.
 fn node() -> (Node<Starting>, Incarnation) {
     let mut node = Node::new(node::Config::new(me()).seed(5), Millis(0));
     let mut out = Vec::new();
-    let what = Announcement {
+    let announcement = Announcement {
         service: "work".parse().unwrap(),
         slots: 1,
         connections: 9,
         warmup: Millis(0),
     };
-    node.handle(Millis(0), Event::Announce(what), &mut out);
+    node.handle(Millis(0), Event::Announce(announcement), &mut out);
     node.handle(Millis(0), Event::Tick, &mut out);
-    let life = node.directory().get(me()).unwrap().incarnation;
-    (node, life)
+    let incarnation = node.directory().get(me()).unwrap().incarnation;
+    (node, incarnation)
 }
 
 fn config(changes: u64) -> Config {
@@ -71,7 +71,7 @@
 
 fn hop(call: u64, target: Incarnation, ticket: Option<Ticket>) -> Event {
     let envelope = Envelope {
-        leg: Leg::Server,
+        role: Role::Server,
         service: "work".parse().unwrap(),
         from: None,
         class: "order".parse().unwrap(),
@@ -92,8 +92,8 @@
 }
 
 fn starts(actions: &[Action]) -> usize {
-    let start = |a: &&Action| matches!(a, Action::Start { .. });
-    actions.iter().filter(start).count()
+    let is_start = |a: &&Action| matches!(a, Action::Start { .. });
+    actions.iter().filter(is_start).count()
 }
 
 fn refusals(actions: &[Action]) -> Vec<Ran> {
@@ -105,21 +105,21 @@
 }
 
 #[test]
-fn a_double_of_a_waiting_call_does_not_run() {
-    // Arrange: the one slot is taken, so the order waits.
-    let (mut node, life) = node();
+fn a_duplicate_of_a_queued_call_does_not_run() {
+    // Arrange: the only slot is taken, so the order is queued.
+    let (mut node, incarnation) = node();
     let mut out = Vec::new();
-    node.handle(Millis(10), hop(1, life, None), &mut out);
-    node.handle(Millis(11), hop(2, life, Some(ticket())), &mut out);
+    node.handle(Millis(10), hop(1, incarnation, None), &mut out);
+    node.handle(Millis(11), hop(2, incarnation, Some(ticket())), &mut out);
     assert_eq!(starts(&out), 1);
 
-    // Act: its double comes, and the slot is freed twice.
+    // Act: a duplicate of the order arrives, and the slot is freed twice.
     let mut out = Vec::new();
-    node.handle(Millis(12), hop(3, life, Some(ticket())), &mut out);
+    node.handle(Millis(12), hop(3, incarnation, Some(ticket())), &mut out);
     assert_eq!(refusals(&out), [Ran::Unknown]);
     for call in [1, 2] {
         let trailer = Default::default();
-        let reply = walnutmoor_core::call::Reply::Whole {
+        let reply = walnutmoor_core::call::Reply::Complete {
             status: 200,
             size: 1,
             trailer,
@@ -133,19 +133,19 @@
 }
 
 #[test]
-fn a_call_for_a_former_life_does_not_run() {
-    let (mut node, life) = node();
+fn a_call_for_a_previous_incarnation_does_not_run() {
+    let (mut node, incarnation) = node();
     let mut out = Vec::new();
 
-    let former = Incarnation(life.0 ^ 1);
-    node.handle(Millis(10), hop(1, former, Some(ticket())), &mut out);
+    let previous = Incarnation(incarnation.0 ^ 1);
+    node.handle(Millis(10), hop(1, previous, Some(ticket())), &mut out);
 
     assert_eq!(starts(&out), 0);
     assert_eq!(refusals(&out), [Ran::No]);
 }
 
 #[test]
-fn an_older_configuration_is_not_adopted_from_anyone() {
+fn an_older_configuration_is_not_adopted() {
     let (mut node, _) = node();
     boot(&mut node, &config(3));
     assert_eq!(node.configuration().revision, Revision(3));
@@ -166,32 +166,35 @@
 }
 
 #[test]
-fn a_witness_never_takes_back_its_word() {
-    let party = |port: u16, life| Party {
+fn a_witness_verdict_is_final() {
+    let party = |port: u16, incarnation| Party {
         node: NodeId(([10, 0, 0, 8], port).into()),
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(incarnation),
     };
     let mut ticket = ticket();
     ticket.witness = party(7402, 8);
 
     let mut marked = Table::new(ticket.witness, 9);
     assert_eq!(marked.mark(Millis(1), &ticket), Verdict::Mark);
-    assert_eq!(marked.ask(Millis(2), &ticket), Verdict::Mark);
+    assert_eq!(marked.resolve(Millis(2), &ticket), Verdict::Mark);
     let mut dead = Table::new(ticket.witness, 9);
-    assert_eq!(dead.ask(Millis(1), &ticket), Verdict::Tombstone);
+    assert_eq!(dead.resolve(Millis(1), &ticket), Verdict::Tombstone);
     assert_eq!(dead.mark(Millis(2), &ticket), Verdict::Tombstone);
 
-    // Once it may have forgotten, it says that it cannot tell.
+    // After the retention the outcome is unknown.
     for table in [&mut marked, &mut dead] {
-        assert_eq!(table.ask(TELLS, &ticket), Verdict::Stranger);
-        assert_eq!(table.mark(TELLS, &ticket), Verdict::Stranger);
+        assert_eq!(
+            table.resolve(WITNESS_RETENTION, &ticket),
+            Verdict::Unknown
+        );
+        assert_eq!(table.mark(WITNESS_RETENTION, &ticket), Verdict::Unknown);
     }
     let mut other = Table::new(party(7402, 9), 9);
-    assert_eq!(other.mark(Millis(1), &ticket), Verdict::Stranger);
+    assert_eq!(other.mark(Millis(1), &ticket), Verdict::Unknown);
 }
 
 #[test]
-fn a_full_ledger_issues_no_more_and_forgets_nothing() {
+fn a_full_ledger_refuses_new_tickets_and_keeps_active_ones() {
     let party = Party { node: me(), incarnation: Incarnation(1) };
     let mut ledger = walnutmoor_core::once::Ledger::new(party, 3, 2);
     let span = Millis(1_000);
@@ -202,21 +205,22 @@
     assert!(issue(2).is_err());
     let begun = ledger.begin(Millis(3), &first, 1, CallId(1));
     assert_eq!(begun, Begin::Fresh);
-    // Long past its span it is still under way, and so still known.
+    // The call is still in progress after the ticket expired, so the ticket is
+    // kept.
     while ledger.expire(Millis(100_000)).is_some() {}
     let again = ledger.begin(Millis(100_000), &first, 1, CallId(2));
     assert_eq!(again, Begin::Joined);
 }
 
 #[test]
-fn a_node_that_is_held_dead_says_a_newer_word() {
-    let (mut node, life) = node();
+fn a_node_reported_dead_refutes_with_a_newer_version() {
+    let (mut node, incarnation) = node();
     let before = node.directory().get(me()).unwrap().version;
     let dead = Record {
         status: Status::Dead,
         ..node.directory().get(me()).unwrap().clone()
     };
-    assert_eq!(dead.incarnation, life);
+    assert_eq!(dead.incarnation, incarnation);
     let packet = Packet {
         from: "10.0.0.2:7402".parse().unwrap(),
         incarnation: Incarnation(2),
--- a/crates/walnutmoor-core/tests/net/act.rs
+++ b/crates/walnutmoor-core/tests/net/act.rs
@@ -107,7 +107,7 @@
             let trailer = Trailer::default();
             let reply = match told {
                 Told::Answer(status) => {
-                    Reply::Whole { status, size: 2, trailer }
+                    Reply::Complete { status, size: 2, trailer }
                 }
                 Told::Refused(refusal) => Reply::Refused { refusal, trailer },
             };
@@ -144,7 +144,7 @@
         let life = self.life(index);
         let down = self.fault == Fault::Down;
         let reply = match ask {
-            _ if down => platform::Reply::Down,
+            _ if down => platform::Reply::Unavailable,
             platform::Request::Get { key } => self.get(&key),
             platform::Request::List { prefix } => {
                 let all = self.objects.iter();
@@ -155,7 +155,7 @@
             platform::Request::Put { key, base, value } => {
                 let reply = self.write(key, base, value);
                 match self.fault {
-                    Fault::LoseAnswers => platform::Reply::Down,
+                    Fault::LoseAnswers => platform::Reply::Unavailable,
                     _ => reply,
                 }
             }
--- a/crates/walnutmoor-core/tests/net/mod.rs
+++ b/crates/walnutmoor-core/tests/net/mod.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use walnutmoor_core::{
-    call::{Arrival, Envelope, Leg, Reply, Trailer},
+    call::{Arrival, Envelope, Reply, Role, Trailer},
     class::{Class, Kind, Target},
     config::{Author, Config, Op},
     error::{Ran, Refusal},
@@ -413,7 +413,7 @@
             Mail::Served { life: of, call, .. } if of == life => {
                 let trailer = Trailer::default();
                 let (status, size) = (200, 2);
-                let reply = Reply::Whole { status, size, trailer };
+                let reply = Reply::Complete { status, size, trailer };
                 self.event(to, Event::Replied { call, reply });
             }
             Mail::Platform { life: of, op, reply, .. } if of == life => {
@@ -440,7 +440,7 @@
         if let Some(site) = &mut self.sites[to] {
             site.hops.insert(own, (from, life, call));
         }
-        if envelope.leg == Leg::Owner {
+        if envelope.role == Role::Owner {
             let nonce = envelope.ticket.map(|t| t.nonce);
             if let Some(nonce) = nonce {
                 self.fates.entry(nonce).or_default().pending += 1;
--- a/crates/walnutmoor-core/tests/policy.rs
+++ b/crates/walnutmoor-core/tests/policy.rs
@@ -1,5 +1,5 @@
-//! The policy under load, without processes: order of refusal, retries, and
-//! a gate in a closed loop with its callers.
+//! Tests of overload policy without processes: priority order, retry budgets,
+//! and a gate in a closed loop with its callers.
 
 use proptest::{prelude::*, test_runner::Config as Runner};
 use rand::{RngExt, SeedableRng};
@@ -9,7 +9,7 @@
     call::{self, Arrival, Trailer},
     class::{self, Class, Key, Kind, Rank, Target},
     config::{Author, Config, Op},
-    gate::{self, End, Gate, Offer, Step, Verdict},
+    gate::{self, Completion, Gate, Offer, Step, Verdict},
     id::{CallId, NodeId, Request},
     node::{self, Action, Event, Node, OpId, Starting},
     platform::{Object, Reply, Version},
@@ -30,18 +30,18 @@
     Class { name: name.parse().unwrap(), kind, target }
 }
 
-/// A node beside a server of the service `work`, with the classes in force.
+/// A node with a server of the service `work`, and all classes configured.
 fn serving_node() -> Node<Starting> {
     let me: NodeId = "10.0.0.1:7402".parse().unwrap();
     let mut node = Node::new(node::Config::new(me).seed(5), Millis(0));
     let mut out = Vec::new();
-    let what = Announcement {
+    let announcement = Announcement {
         service: "work".parse().unwrap(),
         slots: 4,
         connections: 9,
         warmup: Millis(0),
     };
-    node.handle(Millis(0), Event::Announce(what), &mut out);
+    node.handle(Millis(0), Event::Announce(announcement), &mut out);
     node.handle(Millis(0), Event::Tick, &mut out);
     let mut config = Config::default();
     for (name, kind) in CLASSES {
@@ -73,8 +73,8 @@
     }
 }
 
-/// A call that comes back with this level of the service.
-fn hear_level(node: &mut Node<Starting>, level: Level) {
+/// Makes the node learn this level of the service from a response.
+fn learn_level(node: &mut Node<Starting>, level: Level) {
     let mut out = Vec::new();
     node.handle(Millis(10), Event::Arrive(arrival(1, "browse")), &mut out);
     let report = Report {
@@ -84,7 +84,7 @@
         age: Millis(0),
     };
     let trailer = Trailer { reports: vec![report], ..Trailer::default() };
-    let reply = call::Reply::Whole { status: 200, size: 1, trailer };
+    let reply = call::Reply::Complete { status: 200, size: 1, trailer };
     let call = CallId(1);
     node.handle(Millis(11), Event::Replied { call, reply }, &mut out);
 }
@@ -97,12 +97,12 @@
         ..Runner::default()
     })]
 
-    /// None of a lower rank gets through while a higher one is refused.
+    /// No request is admitted while one of higher priority is refused.
     #[test]
-    fn refusals_follow_one_order(level in 1..900u16) {
+    fn refusals_follow_the_priority_order(level in 1..900u16) {
         let mut node = serving_node();
-        hear_level(&mut node, Level(level));
-        let (mut worst_in, mut best_out) = (None, None);
+        learn_level(&mut node, Level(level));
+        let (mut worst_admitted, mut best_refused) = (None, None);
 
         for number in 2..200 {
             let name = ["browse", "lookup"][number as usize % 2];
@@ -112,32 +112,33 @@
             let mut out = Vec::new();
             let event = Event::Arrive(arrival(number, name));
             node.handle(Millis(12), event, &mut out);
-            let sent = |a: &Action| matches!(a, Action::Forward { .. });
-            if out.iter().any(sent) {
-                worst_in = worst_in.max(Some(key));
+            let is_forward = |a: &Action| matches!(a, Action::Forward { .. });
+            if out.iter().any(is_forward) {
+                worst_admitted = worst_admitted.max(Some(key));
             } else {
-                best_out = Some(best_out.map_or(key, |b: Key| b.min(key)));
+                best_refused =
+                    Some(best_refused.map_or(key, |b: Key| b.min(key)));
             }
         }
 
-        if let (Some(worst), Some(best)) = (worst_in, best_out) {
+        if let (Some(worst), Some(best)) = (worst_admitted, best_refused) {
             prop_assert!(worst < best, "{worst} passed, {best} refused");
         }
     }
 
-    /// However many layers there are and however often each would repeat,
-    /// the deepest service runs at most once more for each retry.
+    /// Retries do not multiply across layers: the deepest service runs at most
+    /// once plus once for each retry of the budget.
     #[test]
     fn retries_do_not_multiply(
         layers in 1..6u32,
-        repeats in 0..5u32,
+        layer_retries in 0..5u32,
         retries in 0..6u8,
     ) {
         let mut runs = 0;
         let left = layer(
             Budget::of_attempt(1, retries),
             layers,
-            repeats,
+            layer_retries,
             &mut runs,
         );
 
@@ -146,22 +147,27 @@
     }
 }
 
-/// A layer calls the one below, which always fails, and repeats while its
-/// part of the budget lets it. Returns what is left.
-fn layer(mut own: Budget, layers: u32, repeats: u32, runs: &mut u32) -> u8 {
+/// Calls the layer below, which always fails, and retries while the budget
+/// allows. Returns the retries left.
+fn layer(
+    mut budget: Budget,
+    layers: u32,
+    layer_retries: u32,
+    runs: &mut u32,
+) -> u8 {
     if layers == 0 {
         *runs += 1;
-        return own.left();
+        return budget.left();
     }
-    for attempt in 0..=repeats {
-        if attempt > 0 && !own.spend() {
+    for attempt in 0..=layer_retries {
+        if attempt > 0 && !budget.spend() {
             break;
         }
-        let given = own.split();
-        let unspent = layer(given, layers - 1, repeats, runs);
-        own.give_back(unspent);
+        let given = budget.split();
+        let unspent = layer(given, layers - 1, layer_retries, runs);
+        budget.give_back(unspent);
     }
-    own.left()
+    budget.left()
 }
 
 #[test]
@@ -184,42 +190,43 @@
     assert_eq!(names, ["order", "strict", "quick", "slow", "lookup"]);
 }
 
-/// A gate, a server with so many places, and callers that apply the gate's
-/// level as it was some time ago.
-struct Loop {
+/// Simulates a gate, a server with a fixed number of slots, and callers that
+/// apply the gate's level with a delay.
+struct Simulation {
     gate: Gate,
     rng: ChaCha8Rng,
     now: u64,
-    next: u64,
+    next_call: u64,
     running: Vec<(u64, CallId)>,
     levels: Vec<Level>,
     ranks: std::collections::HashMap<CallId, usize>,
-    asked: [u32; 3],
-    done: [u32; 3],
+    requested: [u32; 3],
+    completed: [u32; 3],
     steps: Vec<Step>,
 }
 
-const PLACES: u32 = 40;
-const HOLD: u64 = 100;
-const LAG: usize = 300;
+const SLOTS: u32 = 40;
+const HOLD_MS: u64 = 100;
+const LEVEL_DELAY_MS: usize = 300;
 
-impl Loop {
-    fn new(seed: u64) -> Loop {
-        Loop {
-            gate: Gate::new(gate::Config::default(), PLACES),
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
+        Simulation {
+            gate: Gate::new(gate::Config::default(), SLOTS),
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
-            next: 0,
+            next_call: 0,
             running: Vec::new(),
-            levels: vec![Level::OPEN; LAG],
+            levels: vec![Level::OPEN; LEVEL_DELAY_MS],
             ranks: Default::default(),
-            asked: [0; 3],
-            done: [0; 3],
+            requested: [0; 3],
+            completed: [0; 3],
             steps: Vec::new(),
         }
     }
 
-    /// Runs a span with so many calls a second of each class.
+    /// Simulates `span` milliseconds with the given call rates per second for
+    /// each class.
     fn run(&mut self, span: u64, rates: [f64; 3]) {
         for _ in 0..span {
             self.now += 1;
@@ -235,30 +242,35 @@
     }
 
     fn arrive(&mut self, rank: usize) {
-        self.asked[rank] += 1;
+        self.requested[rank] += 1;
         let key = Key::new(Rank(rank as u8), self.rng.random());
-        let applied = self.levels[self.levels.len() - LAG];
+        let applied = self.levels[self.levels.len() - LEVEL_DELAY_MS];
         if !applied.admits(key) {
             return;
         }
-        self.next += 1;
-        let call = CallId(self.next);
+        self.next_call += 1;
+        let call = CallId(self.next_call);
         self.ranks.insert(call, rank);
         let now = Millis(self.now);
         let deadline = now + Millis(5_000);
         let offer = Offer { call, key, applied, deadline };
         if self.gate.offer(now, offer, 1.0) == Verdict::Start {
-            self.running.push((self.now + HOLD, call));
+            self.running.push((self.now + HOLD_MS, call));
         }
     }
 
     fn finish(&mut self) {
         let now = self.now;
-        let over = self.running.extract_if(.., |(end, _)| *end <= now);
-        for (_, call) in over.collect::<Vec<_>>() {
-            let own = Millis(HOLD);
-            self.gate.finish(Millis(now), call, End::Answered, own);
-            self.done[self.ranks[&call]] += 1;
+        let finished = self.running.extract_if(.., |(end, _)| *end <= now);
+        for (_, call) in finished.collect::<Vec<_>>() {
+            let service_time = Millis(HOLD_MS);
+            self.gate.finish(
+                Millis(now),
+                call,
+                Completion::Answered,
+                service_time,
+            );
+            self.completed[self.ranks[&call]] += 1;
         }
     }
 
@@ -268,37 +280,38 @@
         self.gate.advance(now, 1.0, &mut steps);
         for step in steps.drain(..) {
             if let Step::Start(call) = step {
-                self.running.push((self.now + HOLD, call));
+                self.running.push((self.now + HOLD_MS, call));
             }
         }
         self.steps = steps;
     }
 
-    /// Shares done of each class, and all done, since the last look.
-    fn look(&mut self) -> ([f64; 3], u32) {
+    /// Returns the completed share of each class and the number of all
+    /// completed calls, and resets the counters.
+    fn take_results(&mut self) -> ([f64; 3], u32) {
         let share = |i: usize| {
-            f64::from(self.done[i]) / f64::from(self.asked[i].max(1))
+            f64::from(self.completed[i]) / f64::from(self.requested[i].max(1))
         };
         let shares = [share(0), share(1), share(2)];
-        let all = self.done.iter().sum();
-        (self.asked, self.done) = ([0; 3], [0; 3]);
+        let all = self.completed.iter().sum();
+        (self.requested, self.completed) = ([0; 3], [0; 3]);
         (shares, all)
     }
 }
 
 #[test]
-fn a_gate_keeps_the_important_and_stays_full() {
+fn a_gate_prefers_high_priority_and_stays_utilized() {
     for seed in 1..=8 {
-        // Arrange: 400 calls a second can be done.
-        let mut it = Loop::new(seed);
-        it.run(3_000, [100.0, 100.0, 50.0]);
-        it.look();
+        // Arrange: the capacity is 400 calls a second.
+        let mut sim = Simulation::new(seed);
+        sim.run(3_000, [100.0, 100.0, 50.0]);
+        sim.take_results();
 
-        // Act: ten times the demand; a second for the level to settle.
-        it.run(1_000, [100.0, 1_500.0, 900.0]);
-        it.look();
-        it.run(5_000, [100.0, 1_500.0, 900.0]);
-        let (shares, all) = it.look();
+        // Act: increase the demand and give the level a second to settle.
+        sim.run(1_000, [100.0, 1_500.0, 900.0]);
+        sim.take_results();
+        sim.run(5_000, [100.0, 1_500.0, 900.0]);
+        let (shares, all) = sim.take_results();
 
         // Assert
         assert!(shares[0] > 0.98, "seed {seed}: {shares:?}");
@@ -308,20 +321,20 @@
 }
 
 #[test]
-fn a_gate_reopens_after_the_pressure() {
+fn a_gate_reopens_after_overload() {
     for seed in 1..=8 {
-        let mut it = Loop::new(seed);
-        it.run(3_000, [100.0, 100.0, 50.0]);
-        it.run(5_000, [100.0, 1_500.0, 900.0]);
+        let mut sim = Simulation::new(seed);
+        sim.run(3_000, [100.0, 100.0, 50.0]);
+        sim.run(5_000, [100.0, 1_500.0, 900.0]);
 
-        // Two seconds, in the simulation's own time.
-        it.run(2_000, [100.0, 100.0, 50.0]);
-        it.look();
-        it.run(3_000, [100.0, 100.0, 50.0]);
-        let (shares, _) = it.look();
+        // Recovery time, in simulated milliseconds.
+        sim.run(2_000, [100.0, 100.0, 50.0]);
+        sim.take_results();
+        sim.run(3_000, [100.0, 100.0, 50.0]);
+        let (shares, _) = sim.take_results();
 
         let least = shares.into_iter().fold(1.0, f64::min);
         assert!(least > 0.9, "seed {seed}: {shares:?}");
-        assert_eq!(it.gate.level(), Level::OPEN, "seed {seed}");
+        assert_eq!(sim.gate.level(), Level::OPEN, "seed {seed}");
     }
 }
