--- a/crates/walnutmoor-core/tests/queue.rs
+++ b/crates/walnutmoor-core/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The queue against a sorted list.
+//! Compares the queue with a sorted list as reference model.
 
 use proptest::{prelude::*, test_runner::Config as Runner};
 use proptest_state_machine::{
@@ -12,8 +12,8 @@
 };
 
 const CAPACITY: usize = 6;
-const PATIENCE: Millis = Millis(100);
-const LEAST: Millis = Millis(10);
+const MAX_WAIT: Millis = Millis(100);
+const MIN_RESPONSE_TIME: Millis = Millis(10);
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -23,14 +23,14 @@
     Expire(u64),
 }
 
-/// The oracle: entries in the order of service.
+/// The reference model: entries in the order of service.
 #[derive(Clone, Debug, Default)]
 struct Model {
     now: u64,
     next: u64,
     entries: Vec<Entry>,
-    // What the last step must have taken out.
-    taken: Vec<CallId>,
+    // The calls that the last step removes.
+    removed: Vec<CallId>,
 }
 
 fn order(entry: &Entry) -> (Key, Millis, CallId) {
@@ -56,7 +56,7 @@
     }
 
     fn apply(mut state: Model, step: &Step) -> Model {
-        state.taken.clear();
+        state.removed.clear();
         match step {
             Step::Push(key, left) => {
                 state.next += 1;
@@ -64,87 +64,90 @@
                     call: CallId(state.next),
                     key: Key(*key),
                     deadline: Millis(state.now + left),
-                    since: Millis(state.now),
+                    queued_at: Millis(state.now),
                 };
                 state.entries.push(entry);
                 state.entries.sort_by_key(order);
                 if state.entries.len() > CAPACITY {
                     let lowest = state.entries.pop().unwrap();
-                    state.taken.push(lowest.call);
+                    state.removed.push(lowest.call);
                 }
             }
             Step::Pop if state.entries.is_empty() => {}
-            Step::Pop => state.taken.push(state.entries.remove(0).call),
+            Step::Pop => state.removed.push(state.entries.remove(0).call),
             Step::Remove(at) if *at < state.entries.len() => {
-                state.taken.push(state.entries.remove(*at).call);
+                state.removed.push(state.entries.remove(*at).call);
             }
             Step::Remove(_) => {}
             Step::Expire(span) => {
                 state.now += span;
                 let now = Millis(state.now);
-                let over = |e: &Entry| {
-                    e.since + PATIENCE <= now || e.deadline <= now + LEAST
+                let is_expired = |e: &Entry| {
+                    e.queued_at + MAX_WAIT <= now
+                        || e.deadline <= now + MIN_RESPONSE_TIME
                 };
-                let gone = state.entries.iter().filter(|e| over(e));
-                state.taken = gone.map(|e| e.call).collect();
-                state.entries.retain(|e| !over(e));
+                let expired = state.entries.iter().filter(|e| is_expired(e));
+                state.removed = expired.map(|e| e.call).collect();
+                state.entries.retain(|e| !is_expired(e));
             }
         }
         state
     }
 }
 
-struct Sut {
+struct Harness {
     queue: Queue,
     before: Vec<Entry>,
 }
 
-impl StateMachineTest for Sut {
-    type SystemUnderTest = Sut;
+impl StateMachineTest for Harness {
+    type SystemUnderTest = Harness;
     type Reference = Model;
 
-    fn init_test(_: &Model) -> Sut {
-        Sut { queue: Queue::new(CAPACITY), before: Vec::new() }
+    fn init_test(_: &Model) -> Harness {
+        Harness { queue: Queue::new(CAPACITY), before: Vec::new() }
     }
 
-    fn apply(mut this: Sut, model: &Model, step: Step) -> Sut {
+    fn apply(mut this: Harness, model: &Model, step: Step) -> Harness {
         let queue = &mut this.queue;
-        let mut taken: Vec<CallId> = Vec::new();
+        let mut removed: Vec<CallId> = Vec::new();
         match step {
             Step::Push(key, left) => {
                 let entry = Entry {
                     call: CallId(model.next),
                     key: Key(key),
                     deadline: Millis(model.now + left),
-                    since: Millis(model.now),
+                    queued_at: Millis(model.now),
                 };
                 match queue.push(entry) {
-                    Ok(evicted) => taken.extend(evicted.map(|e| e.call)),
-                    Err(newcomer) => taken.push(newcomer.call),
+                    Ok(evicted) => removed.extend(evicted.map(|e| e.call)),
+                    Err(newcomer) => removed.push(newcomer.call),
                 }
             }
-            Step::Pop => taken.extend(queue.pop().map(|e| e.call)),
+            Step::Pop => removed.extend(queue.pop().map(|e| e.call)),
             Step::Remove(at) => {
                 if let Some(entry) = this.before.get(at) {
-                    taken.extend(queue.remove(entry.call).map(|e| e.call));
+                    removed.extend(queue.remove(entry.call).map(|e| e.call));
                 }
             }
             Step::Expire(_) => {
                 let now = Millis(model.now);
-                while let Some(e) = queue.expire(now, PATIENCE, LEAST) {
-                    taken.push(e.call);
+                while let Some(e) =
+                    queue.expire(now, MAX_WAIT, MIN_RESPONSE_TIME)
+                {
+                    removed.push(e.call);
                 }
             }
         }
-        let mut want = model.taken.clone();
-        want.sort();
-        taken.sort();
-        assert_eq!(taken, want);
+        let mut expected = model.removed.clone();
+        expected.sort();
+        removed.sort();
+        assert_eq!(removed, expected);
         this.before = model.entries.clone();
         this
     }
 
-    fn check_invariants(this: &Sut, model: &Model) {
+    fn check_invariants(this: &Harness, model: &Model) {
         assert_eq!(this.queue.len(), model.entries.len());
     }
 }
@@ -158,5 +161,5 @@
     })]
 
     #[test]
-    fn queue_serves_the_most_important(sequential 1..80 => Sut);
+    fn queue_matches_the_reference_model(sequential 1..80 => Harness);
 }
--- a/crates/walnutmoor-standin/src/measure/slopes.rs
+++ b/crates/walnutmoor-standin/src/measure/slopes.rs
@@ -225,8 +225,11 @@
     };
     node.handle(Millis(5), Event::Arrive(arrival), out);
     let trailer = Trailer::default();
-    let reply =
-        walnutmoor_core::call::Reply::Whole { status: 200, size: 10, trailer };
+    let reply = walnutmoor_core::call::Reply::Complete {
+        status: 200,
+        size: 10,
+        trailer,
+    };
     node.handle(Millis(6), Event::Replied { call, reply }, out);
     black_box(&out);
 }
@@ -239,14 +242,14 @@
     for round in 0..TIMES {
         for _ in 0..4 {
             let key = walnutmoor_core::class::Key(rng.random_range(0..900));
-            controller.arrived(key, Level::OPEN);
+            controller.record_arrival(key, Level::OPEN);
         }
         let sample = Sample {
             capacity: 40.0,
-            hold: 1.0,
-            standing: 1,
-            busy: 1.0,
-            span: 0.1,
+            hold_secs: 1.0,
+            min_queued: 1,
+            utilization: 1.0,
+            window_secs: 0.1,
         };
         controller.tick(Millis(100 * round as u64), sample);
     }
@@ -261,13 +264,13 @@
             level: Some(Level::OPEN),
             age: Millis(0),
         };
-        view.hear(Millis(1), &report);
-        view.pass(Millis(1), &class, &service(0), &service(index));
+        view.record_report(Millis(1), &report);
+        view.record_path(Millis(1), &class, &service(0), &service(index));
     }
     let entry = service(0);
     let begun = Instant::now();
     for _ in 0..TIMES {
-        black_box(view.strictest(Millis(2), &class, &entry));
+        black_box(view.strictest_level(Millis(2), &class, &entry));
     }
     print("admission_29_deep", 0, micros(begun, TIMES), "us");
     let reports = (0..29).flat_map(|i| view.reports(Millis(2), &service(i)));
--- a/crates/walnutmoor/src/duty/caller.rs
+++ b/crates/walnutmoor/src/duty/caller.rs
@@ -237,7 +237,7 @@
         .unwrap_or_else(|_| Err(Refusal::new(Kind::Broken, Ran::Unknown)));
     Ok(match result {
         Ok(outcome) => {
-            let (ran, settled) = (outcome.ran, !outcome.open);
+            let (ran, settled) = (outcome.ran, !outcome.pending);
             json(StatusCode::OK, &Inspected { ran, settled })
         }
         Err(refusal) => listen::response(wire::refusal(&refusal, None)),
--- a/crates/walnutmoor/src/duty/decide.rs
+++ b/crates/walnutmoor/src/duty/decide.rs
@@ -385,7 +385,7 @@
             }
             Action::Platform { op, request } => {
                 if self.outlets.platform.try_send((op, request)).is_err() {
-                    let reply = Reply::Down;
+                    let reply = Reply::Unavailable;
                     self.backlog.push_back(Event::Platform { op, reply });
                 }
             }
--- a/crates/walnutmoor/src/duty/forward.rs
+++ b/crates/walnutmoor/src/duty/forward.rs
@@ -244,7 +244,7 @@
     let headers = wire::strip(&parts.headers);
     let answer = Answer { status, headers, body };
     let status = status.as_u16();
-    (Reply::Whole { status, size, trailer }, Some(answer))
+    (Reply::Complete { status, size, trailer }, Some(answer))
 }
 
 /// An answer must not be lost to a full ring: it waits, which slows down
--- a/crates/walnutmoor/src/duty/platform.rs
+++ b/crates/walnutmoor/src/duty/platform.rs
@@ -25,7 +25,7 @@
         let (platform, ring) = (platform.clone(), ring.clone());
         tokio::spawn(async move {
             let reply = platform.call(request).await;
-            if reply == Reply::Down {
+            if reply == Reply::Unavailable {
                 counter!("walnutmoor_platform_failures_total").increment(1);
             }
             let event = Box::new(Event::Platform { op, reply });
--- a/crates/walnutmoor/src/platform/http.rs
+++ b/crates/walnutmoor/src/platform/http.rs
@@ -63,12 +63,12 @@
         };
         let list = matches!(request, Request::List { .. });
         let Some(request) = self.encode(request) else {
-            return Reply::Down;
+            return Reply::Unavailable;
         };
         let exchange = self.exchange(request);
         match tokio::time::timeout(limit, exchange).await {
             Ok(Some(response)) => decode(&response, list),
-            _ => Reply::Down,
+            _ => Reply::Unavailable,
         }
     }
 
@@ -126,13 +126,13 @@
         StatusCode::PRECONDITION_FAILED => Reply::Conflict,
         StatusCode::OK if list => decode_list(&response.body),
         StatusCode::OK => decode_object(response),
-        _ => Reply::Down,
+        _ => Reply::Unavailable,
     }
 }
 
 fn decode_list(body: &Bytes) -> Reply {
     let Ok(items) = serde_json::from_slice::<Vec<Item>>(body) else {
-        return Reply::Down;
+        return Reply::Unavailable;
     };
     let pair = |item: Item| {
         let Item { key, version, value } = item;
@@ -146,12 +146,14 @@
     let tag = response.headers.get(header::ETAG);
     let text = tag.and_then(|v| v.to_str().ok());
     let version = text.and_then(|t| t.trim_matches('"').parse().ok());
-    let Some(version) = version.map(Version) else { return Reply::Down };
+    let Some(version) = version.map(Version) else {
+        return Reply::Unavailable;
+    };
     if response.body.is_empty() {
         return Reply::Written(version);
     }
     match String::from_utf8(response.body.to_vec()) {
         Ok(value) => Reply::Found(Object { version, value }),
-        Err(_) => Reply::Down,
+        Err(_) => Reply::Unavailable,
     }
 }
--- a/crates/walnutmoor/src/platform/mod.rs
+++ b/crates/walnutmoor/src/platform/mod.rs
@@ -11,7 +11,7 @@
 | put | `PUT /objects/KEY` with `If-Match` or `If-None-Match: *` | 200 with `ETag`, 412 |
 | watch | `GET /objects/KEY?known=V&wait_ms=N` | as get, or 304 |
 
-Whatever else comes, or nothing in time, is [`Reply::Down`].
+Whatever else comes, or nothing in time, is [`Reply::Unavailable`].
 */
 
 mod http;
