--- a/crates/walnutmoor-core/src/gate.rs
+++ b/crates/walnutmoor-core/src/gate.rs
@@ -124,7 +124,7 @@
 const FASTEST_WINDOW: Millis = Millis(500);
 
 /// The minimum queue capacity.
-const QUEUE_MIN: usize = 4;
+const QUEUE_CAPACITY_MIN: usize = 4;
 
 /// Limits, queues and refuses calls to one backend server.
 #[derive(Debug)]
@@ -254,14 +254,14 @@
         &mut self,
         now: Millis,
         call: CallId,
-        end: Completion,
+        completion: Completion,
         service_time: Millis,
     ) -> bool {
         self.usage.note(now, self.in_flight(), self.queue.len());
         let Some(started) = self.running.remove(&call) else {
             return false;
         };
-        match end {
+        match completion {
             Completion::Answered => {
                 let hold_time = now.since(started);
                 self.limit.record_completion(service_time);
@@ -352,7 +352,7 @@
 }
 
 fn queue_capacity(max_concurrency: u32) -> usize {
-    (max_concurrency as usize).max(QUEUE_MIN)
+    (max_concurrency as usize).max(QUEUE_CAPACITY_MIN)
 }
 
 /// Tracks average slot use and minimum queue length over a window.
--- a/crates/walnutmoor-core/src/gossip.rs
+++ b/crates/walnutmoor-core/src/gossip.rs
@@ -110,7 +110,7 @@
         input: D,
     ) -> Result<Option<Outcome>, D::Error> {
         let pair = Option::<(Ran, bool)>::deserialize(input)?;
-        Ok(pair.map(|(ran, open)| Outcome { ran, pending: open }))
+        Ok(pair.map(|(ran, pending)| Outcome { ran, pending }))
     }
 }
 
