--- a/crates/walnutmoor-core/src/throttle.rs
+++ b/crates/walnutmoor-core/src/throttle.rs
@@ -41,11 +41,11 @@
 ```
 */
 
-mod cover;
-mod gauge;
+mod completion;
+mod route;
 
-use cover::Services;
-use gauge::{AIM, FLOOR, Gauge, URGENT};
+use completion::Services;
+use route::{AIM, FLOOR, Gauge, URGENT};
 
 use crate::{
     balance::{Pressure, Pressures},
--- a/crates/walnutmoor-core/src/throttle/gauge.rs
+++ b/crates/walnutmoor-core/src/throttle/route.rs
@@ -4,7 +4,7 @@
 
 use std::collections::VecDeque;
 
-use super::cover::Cover;
+use super::completion::Cover;
 use crate::{
     balance::{Pressure, Pressures},
     bulkhead,
--- a/crates/walnutmoor-core/tests/overload.rs
+++ b/crates/walnutmoor-core/tests/overload.rs
@@ -1,8 +1,8 @@
 //! Loads that are too much, replayed against the decisions of the core.
 
-mod replay;
+mod simulation;
 
-use replay::{Class, Loop, Plan, Tally};
+use simulation::{Class, Loop, Plan, Tally};
 use walnutmoor_core::digest::Map;
 
 /// Three instances of 45 used slots give 135. A request takes 24 ms of a slot
--- a/crates/walnutmoor-core/tests/shedding.rs
+++ b/crates/walnutmoor-core/tests/shedding.rs
@@ -1,9 +1,9 @@
 //! Every instance of one service turns away part of what it gets, replayed
 //! against the decisions of the core.
 
-mod replay;
+mod simulation;
 
-use replay::{Class, Deal, Loop, Plan, Tally};
+use simulation::{Class, Deal, Loop, Plan, Tally};
 use walnutmoor_core::digest::Map;
 
 /// Two thirds of what fits while nothing is turned away.
