--- a/crates/walnutmoor-core/src/account.rs
+++ b/crates/walnutmoor-core/src/account.rs
@@ -1,14 +1,14 @@
 /*!
-Client accounts and the keys that callers prove them with.
+Client accounts and authentication of callers by key.
 
-A directory is built once with each table and swapped whole with it, so a key
-that is added or removed comes into force with everything else of its revision.
-Keys are kept as digests: what a node holds, sends to other nodes or writes
-down is of no use to somebody who wants to call.
+A directory is built once per table and replaced together with it, so key
+changes take effect together with all other changes of the same revision. Keys
+are kept only as digests, so what a node holds, sends or stores can't be used
+to call.
 
-[`Directory::judge`] decides who a request is from. An instance's own calls
-carry no key; what tells them from callers is that the run which made them is
-under way at this very node, since any caller can write an id like theirs.
+[`Directory::authenticate`] decides which account a request is from. Calls made
+by instances carry no key. They are recognized by the run that made them, which
+must be in progress at this node, because any caller can forge a call id.
 
 # Example
 
@@ -18,9 +18,12 @@
 let acme = Account::new("acme".parse().unwrap());
 let directory =
     Directory::build([(acme, vec![Digest::of(b"k-7f3a")])]).unwrap();
-let sender = directory.judge(Key::One(b"k-7f3a"), Sender::default()).unwrap();
-assert_eq!(sender.unwrap().name.as_str(), "acme");
-assert!(directory.judge(Key::One(b"k-0000"), Sender::default()).is_err());
+let account = directory
+    .authenticate(Key::One(b"k-7f3a"), Sender::default())
+    .unwrap();
+assert_eq!(account.unwrap().name.as_str(), "acme");
+let unknown = directory.authenticate(Key::One(b"k-0000"), Sender::default());
+assert!(unknown.is_err());
 ```
 */
 
@@ -33,19 +36,18 @@
     id::{self, ParseError},
 };
 
-/// Bytes of a digest. With 128 bits nobody finds a second key with the digest
-/// of somebody else's, and a desired state grows little by digests in the
-/// place of keys.
-const DIGEST: usize = 16;
+/// Digest length in bytes: 128 bits resist second preimages and keep the
+/// desired state small.
+const DIGEST_BYTES: usize = 16;
 
-/// What is kept of a key. The key can't be found from it.
+/// Digest of a key, which does not reveal the key.
 #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Digest([u8; DIGEST]);
+pub struct Digest([u8; DIGEST_BYTES]);
 
 impl Digest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &[u8]) -> Digest {
-        let mut bytes = [0; DIGEST];
+        let mut bytes = [0; DIGEST_BYTES];
         let mut hasher = blake3::Hasher::new();
         hasher.update(key).finalize_xof().fill(&mut bytes);
         Digest(bytes)
@@ -53,14 +55,14 @@
 }
 
 impl fmt::Debug for Digest {
-    /// Tells nothing, so that no log line or panic gives a digest away.
+    /// Hides the digest, so that it does not leak through logs or panics.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Digest(..)")
     }
 }
 
 impl fmt::Display for Digest {
-    /// The form in which nodes tell each other of it.
+    /// Formats the digest in hexadecimal, as nodes exchange it.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
@@ -70,12 +72,12 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Digest, ParseError> {
-        // What was meant for a digest may be a key: it is not repeated.
+        // The text may be a key by mistake, so the error does not repeat it.
         let error = || ParseError::new("digest of a key", "..");
-        if text.len() != 2 * DIGEST || !text.is_ascii() {
+        if text.len() != 2 * DIGEST_BYTES || !text.is_ascii() {
             return Err(error());
         }
-        let mut bytes = [0; DIGEST];
+        let mut bytes = [0; DIGEST_BYTES];
         for (at, byte) in bytes.iter_mut().enumerate() {
             let digits = &text[2 * at..2 * at + 2];
             *byte = u8::from_str_radix(digits, 16).map_err(|_| error())?;
@@ -84,45 +86,46 @@
     }
 }
 
-/// How much an account may ask for, over all nodes together.
+/// Rate limit of an account, over all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests on top of that at once.
+    /// Additional requests that may arrive at once.
     pub burst: f64,
 }
 
-/// A client account.
+/// Client account.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Account {
-    /// Its name, which instances are told.
+    /// Name, which is passed on to instances.
     pub name: id::Account,
-    /// The rank of its requests, where it goes before that of their route.
+    /// Priority that takes precedence over that of the route.
     pub priority: Option<u8>,
-    /// Its quota; `None` if it has no limit.
+    /// Rate limit; `None` if unlimited.
     pub quota: Option<Quota>,
 }
 
 impl Account {
-    /// An account without a rank of its own and without a limit.
+    /// Creates an account without a priority and without a limit.
     pub fn new(name: id::Account) -> Account {
         Account { name, priority: None, quota: None }
     }
 
-    /// Gives it a rank of its own.
+    /// Sets the priority.
     pub fn priority(mut self, priority: u8) -> Account {
         self.priority = Some(priority);
         self
     }
 
-    /// Limits it. A rate of zero is no limit.
+    /// Sets the quota. A rate of zero means no limit.
     pub fn quota(mut self, quota: Quota) -> Account {
         self.quota = (quota.rate > 0.0).then_some(quota);
         self
     }
 
-    /// The rank of its work, where the route alone would give it this one.
+    /// Returns the urgency of a request of this account on a route whose own
+    /// urgency is `route`.
     pub fn urgency(&self, route: u8) -> u8 {
         match self.priority {
             Some(priority) => bulkhead::account_urgency(priority, route),
@@ -131,50 +134,50 @@
     }
 }
 
-/// Accounts that can't be put in force together.
+/// Error in a set of accounts.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// A caller with this key would be both.
+    /// Two accounts share a key, so a caller can't be identified.
     #[error("accounts `{0}` and `{1}` hold the same key")]
-    Shared(id::Account, id::Account),
-    /// Nobody could tell which entry holds.
-    #[error("account `{0}` is there twice")]
-    Twice(id::Account),
-    /// A quota is a number that is not below zero.
-    #[error("the quota of account `{0}` is no amount")]
-    Amount(id::Account),
+    SharedKey(id::Account, id::Account),
+    /// Two accounts have the same name.
+    #[error("account `{0}` is defined twice")]
+    DuplicateAccount(id::Account),
+    /// Rate or burst of a quota is negative or not finite.
+    #[error("quota of account `{0}` must be finite and not negative")]
+    InvalidQuota(id::Account),
 }
 
-/// The key that a request bears.
+/// Key that a request carries.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Key<'a> {
-    /// None.
+    /// No key.
     Missing,
-    /// One, as it was sent.
+    /// One key, as received.
     One(&'a [u8]),
-    /// Several; nobody can tell which one is meant.
+    /// Several keys, which is ambiguous.
     Several,
 }
 
-/// What is known of a request's sender beside its key.
+/// What is known of the sender of a request besides its key.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Sender {
-    /// The route is open to those without a key.
+    /// The route admits requests without a key.
     pub is_public: bool,
-    /// A run that is under way at this node made the request.
-    pub is_run: bool,
-    /// The request is named like a call of an instance.
-    pub is_like_call: bool,
+    /// A run that is in progress at this node made the request.
+    pub is_local_run: bool,
+    /// The request id has the form of a call made by an instance.
+    pub has_call_id: bool,
 }
 
-/// A change of an account's keys.
+/// Change of the keys of an account.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Change {
-    /// The account.
+    /// Name of the account.
     pub account: id::Account,
-    /// Keys that it holds now and did not before.
+    /// Number of keys added.
     pub added: usize,
-    /// Keys that it holds no more.
+    /// Number of keys removed.
     pub removed: usize,
 }
 
@@ -186,11 +189,11 @@
 }
 
 impl Directory {
-    /// Puts accounts and the digests of their keys together.
+    /// Builds a directory from accounts and the digests of their keys.
     ///
     /// # Errors
     ///
-    /// If a key or a name stands for two accounts, or a quota is no amount.
+    /// Fails if two accounts share a key or a name, or if a quota is invalid.
     pub fn build(
         accounts: impl IntoIterator<Item = (Account, Vec<Digest>)>,
     ) -> Result<Directory, Error> {
@@ -207,58 +210,64 @@
         digests: Vec<Digest>,
     ) -> Result<(), Error> {
         let name = &account.name;
-        let amount = |number: f64| number.is_finite() && number >= 0.0;
-        let legal = |quota: Quota| amount(quota.rate) && amount(quota.burst);
-        if !account.quota.is_none_or(legal) {
-            return Err(Error::Amount(name.clone()));
+        let is_amount = |number: f64| number.is_finite() && number >= 0.0;
+        let is_valid =
+            |quota: Quota| is_amount(quota.rate) && is_amount(quota.burst);
+        if !account.quota.is_none_or(is_valid) {
+            return Err(Error::InvalidQuota(name.clone()));
         }
         let former = self.accounts.insert(name.clone(), account.clone());
         if former.is_some() {
-            return Err(Error::Twice(name.clone()));
+            return Err(Error::DuplicateAccount(name.clone()));
         }
         for digest in digests {
             let former = self.keys.insert(digest, account.clone());
             if let Some(former) = former.filter(|f| f.name != *name) {
-                return Err(Error::Shared(former.name.clone(), name.clone()));
+                return Err(Error::SharedKey(
+                    former.name.clone(),
+                    name.clone(),
+                ));
             }
         }
         Ok(())
     }
 
-    /// True if there are no accounts: everybody may call.
+    /// Returns true if there are no accounts. Anybody may call then.
     pub fn is_empty(&self) -> bool {
         self.accounts.is_empty()
     }
 
-    /// Number of accounts.
+    /// Returns the number of accounts.
     pub fn len(&self) -> usize {
         self.accounts.len()
     }
 
-    /// The account of a name.
+    /// Returns the account with this name.
     pub fn get(&self, name: &id::Account) -> Option<&Arc<Account>> {
         self.accounts.get(name)
     }
 
-    /// The account that holds a key. Looked up by digest, so that the time it
-    /// takes tells nothing of the keys that there are.
+    /// Returns the account that holds a key. The lookup is by digest, so its
+    /// timing reveals nothing about the known keys.
     fn holder(&self, key: &[u8]) -> Option<&Arc<Account>> {
         match key {
-            // An operator's empty entry opens no door.
+            // An empty entry in the configuration must not match.
             [] => None,
             key => self.keys.get(&Digest::of(key)),
         }
     }
 
-    /// Decides who a request is from; `None` if from no account.
+    /// Returns the account that a request is from, or `None` if it is from no
+    /// account.
     ///
     /// # Errors
     ///
-    /// [`Kind::UnknownKey`], final, if it needs a key and has none that
-    /// holds. [`Kind::Orphaned`] if it may be a call of a run that this node
-    /// knows nothing of, as after its own restart: nobody waits for its
-    /// answer, but it is no caller that was told to stay away.
-    pub fn judge(
+    /// Returns [`Kind::UnknownKey`], which is final, if a key is required and
+    /// none, several or an unknown one was sent. Returns [`Kind::Orphaned`] if the
+    /// request may be a call of a run that this node does not know, for
+    /// example after a restart: nobody waits for the answer, but the sender
+    /// must not be told that its key is invalid.
+    pub fn authenticate(
         &self,
         key: Key<'_>,
         sender: Sender,
@@ -268,19 +277,18 @@
         }
         let holder = match key {
             Key::One(key) => self.holder(key),
-            Key::Missing if sender.is_run => return Ok(None),
+            Key::Missing if sender.is_local_run => return Ok(None),
             Key::Missing | Key::Several => None,
         };
         match (holder, key) {
             (Some(account), _) => Ok(Some(account)),
             (None, _) if sender.is_public => Ok(None),
-            (None, Key::Missing) if sender.is_like_call => Err(Kind::Orphaned),
+            (None, Key::Missing) if sender.has_call_id => Err(Kind::Orphaned),
             (None, _) => Err(Kind::UnknownKey),
         }
     }
 
-    /// What has become of each account's keys since another directory, in
-    /// the order of names.
+    /// Returns the changes of keys since `former`, sorted by account name.
     pub fn changes_since(&self, former: &Directory) -> Vec<Change> {
         let mut counts: Map<&id::Account, (usize, usize)> = Map::default();
         for (digest, account) in &self.keys {
@@ -309,7 +317,7 @@
         holder.is_some_and(|holder| holder.name == account.name)
     }
 
-    /// The names of all accounts, in no order.
+    /// Returns the names of all accounts in arbitrary order.
     pub fn names(&self) -> Set<id::Account> {
         self.accounts.keys().cloned().collect()
     }
--- a/crates/walnutmoor-core/src/demand.rs
+++ b/crates/walnutmoor-core/src/demand.rs
@@ -1,9 +1,9 @@
 /*!
-How much work is asked for, in slots: the work that arrived lately over the
-time in which it arrived.
+Demand for slots: the work that arrived recently, divided by the time in which
+it arrived.
 
-Unlike the work that runs, this goes on growing when all slots are taken, so
-it tells by how much there is too much.
+Unlike the number of busy slots, demand keeps growing when all slots are taken,
+so it shows how far the load exceeds capacity.
 
 # Example
 
@@ -20,45 +20,47 @@
 
 use crate::time::Millis;
 
-/// The span of one half of the window. A second of arrivals is some
-/// thousands at a busy instance, and a request's calls come within it.
-const HALF: Millis = Millis(400);
+/// Half of the window. The window is long enough to average over arrivals and
+/// to include the calls that a request makes.
+const HALF_WINDOW: Millis = Millis(400);
 
-/// Work that arrived in the last two halves of a window.
+/// Work that arrived in the current and the previous half window.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand {
-    from: Millis,
-    now: f64,
-    before: f64,
+    since: Millis,
+    current: f64,
+    previous: f64,
 }
 
 impl Demand {
-    /// Nothing has arrived.
+    /// Creates a window without work.
     pub fn new() -> Demand {
         Demand::default()
     }
 
-    /// Work of this many milliseconds has arrived.
+    /// Adds arrived work, in milliseconds of slot time.
     pub fn add(&mut self, now: Millis, work: f64) {
-        self.turn(now);
-        self.now += work;
+        self.rotate(now);
+        self.current += work;
     }
 
-    /// The slots that the work of the last window would have filled.
+    /// Returns the number of slots that the work of the window would keep
+    /// busy.
     pub fn slots(&self, now: Millis) -> f64 {
         let mut view = *self;
-        view.turn(now);
-        let span = (now.since(view.from) + HALF).0 as f64;
-        (view.now + view.before) / span
+        view.rotate(now);
+        let span = (now.since(view.since) + HALF_WINDOW).0 as f64;
+        (view.current + view.previous) / span
     }
 
-    fn turn(&mut self, now: Millis) {
-        let age = now.since(self.from);
-        if age < HALF {
+    fn rotate(&mut self, now: Millis) {
+        let age = now.since(self.since);
+        if age < HALF_WINDOW {
             return;
         }
-        self.before = if age < HALF + HALF { self.now } else { 0.0 };
-        self.now = 0.0;
-        self.from = now;
+        self.previous =
+            if age < HALF_WINDOW + HALF_WINDOW { self.current } else { 0.0 };
+        self.current = 0.0;
+        self.since = now;
     }
 }
--- a/crates/walnutmoor-core/src/quota.rs
+++ b/crates/walnutmoor-core/src/quota.rs
@@ -1,25 +1,29 @@
 /*!
-Quotas of client accounts over all nodes together.
+Rate quotas of client accounts, enforced across all nodes together.
 
-The load pattern: the callers of an account come to any node, a few requests
-to each, and an account that asks for many times its usual is cut at its
-quota as a whole, while nodes are cut off, stand still or start again.
+Guards against one account overloading the platform: the callers of an account
+may reach any node, a few requests each, and the sum is limited to the
+account's quota, also while nodes are partitioned, paused or restarted.
 
 One node, the *allocator* of an account, holds its token bucket and grants
-requests out of it; the others ask it when a request comes, for that one and
-for as many more as they expect within the short life of a grant. Nothing has
-to be agreed on:
-
-- which node it is follows from the account's name and the nodes that one
-  reaches ([`place`]), so the work of all accounts is spread over the fleet;
-- an allocator that reaches a part of the fleet deals that part of the quota,
-  so the sides of a cut never deal more than one whole together;
-- one that begins, or has stood still, starts with next to nothing and earns
-  the rest at the quota's rate, as the former one may have dealt all of it;
-- a node without an allocator lives on its own even part ([`Lease::alone`]).
-
-What a grant lives is bounded by what a window may hold beyond the quota, as a
-request is counted when it comes and the token may have been granted before.
+requests out of it. The other nodes ask it for a grant when a request arrives,
+for that request and for as many more as they expect within the short lifetime
+of a grant. This needs no consensus:
+
+- The allocator is chosen by rendezvous hashing of the account's name over the
+  reachable nodes ([`allocator_for`]), so accounts spread evenly over the
+  fleet.
+- An allocator that reaches only part of the fleet grants the same part of the
+  quota, so the sides of a partition never grant more than the whole.
+- An allocator that starts, or resumes after a pause, begins with a small
+  number of tokens and earns the rest at the quota's rate, because its
+  predecessor may have granted all of them.
+- A node without an allocator admits up to its even share
+  ([`Lease::admit_locally`]).
+
+A request is counted when it arrives, but its token may have been granted
+earlier. The lifetime of a grant is therefore bounded by the tolerance of a
+window.
 
 # Example
 
@@ -27,23 +31,26 @@
 use walnutmoor_core::{
     account::Quota,
     prelude::*,
-    quota::{Allocator, Answer, Config, Fleet, Leases, Take},
+    quota::{Allocator, Config, Decision, Fleet, Leases, Response},
 };
 
 let config = Config::default();
 let account = "acme".parse().unwrap();
 let quota = Quota { rate: 10.0, burst: 10.0 };
 let mut allocator = Allocator::new(config);
-allocator.see(Millis(0), Fleet { reached: 2, known: 2 });
+allocator.set_fleet(Millis(0), Fleet { reachable: 2, known: 2 });
 let mut leases = Leases::default();
 
 let now = Millis(5_000);
-let Take::Wait(Some(ask)) = leases.take(now, &account, CallId(1)) else {
+let Decision::Wait(Some(request)) =
+    leases.acquire(now, &account, CallId(1))
+else {
     panic!()
 };
-let grant = allocator.ask(now, &account, quota, ask);
-let settled = leases.hear(now, &account, Answer::Granted(grant));
-assert_eq!(settled.go, [CallId(1)]);
+let grant = allocator.grant(now, &account, quota, request);
+let resolution =
+    leases.handle_response(now, &account, Response::Granted(grant));
+assert_eq!(resolution.admitted, [CallId(1)]);
 ```
 */
 
@@ -52,7 +59,7 @@
 mod lease;
 
 pub use allocator::{Allocator, Fleet};
-pub use lease::{Lease, Leases, Settled, Take};
+pub use lease::{Decision, Lease, Leases, Resolution};
 
 use serde::{Deserialize, Serialize};
 
@@ -65,114 +72,117 @@
     time::Millis,
 };
 
-/// What the platform bounds.
+/// Tolerances of quota enforcement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// The span in which requests are counted.
+    /// Window over which requests are counted.
     pub window: Millis,
-    /// The part of a quota that a window may hold beyond it.
+    /// Fraction by which a window may exceed the quota.
     pub overage: f64,
-    /// Requests that a window may hold beyond that.
+    /// Requests by which a window may exceed the quota in addition.
     pub slack: f64,
 }
 
 impl Default for Config {
-    /// Bounds that a caller hardly notices, where the platform sets none.
+    /// Tolerances used where the platform sets none.
     fn default() -> Config {
         Config { window: Millis(5_000), overage: 0.1, slack: 20.0 }
     }
 }
 
-/// The part of the overage of a window for which a grant may live. The rest
-/// is for uneven arrivals.
-const LIFETIME_PART: f64 = 0.2;
+/// Part of the overage of a window that the lifetime of a grant may use. The
+/// rest is left for uneven arrivals.
+const LIFETIME_OVERAGE_FRACTION: f64 = 0.2;
 
-/// The shortest life of a grant: a few round trips between zones.
-const LIFETIME_MIN: Millis = Millis(20);
+/// Minimum lifetime of a grant: a few round trips between availability zones.
+const MIN_GRANT_LIFETIME: Millis = Millis(20);
 
-/// The longest life of a grant: what a node that is gone holds is lost to
-/// the others for as long.
-const LIFETIME_MAX: Millis = Millis(1_000);
+/// Maximum lifetime of a grant. Tokens held by a node that has failed are lost
+/// to the others for this long.
+const MAX_GRANT_LIFETIME: Millis = Millis(1_000);
 
-/// The part of the slack with which a bucket begins that may be the second
-/// one within a window.
-const START_PART: f64 = 0.25;
+/// Part of the slack with which a bucket starts. It leaves room for a second
+/// bucket that starts within the same window.
+const INITIAL_SLACK_FRACTION: f64 = 0.25;
 
-/// The part of the overage of a window that a bucket may hold.
-const DEPTH_PART: f64 = 0.5;
+/// Part of the overage of a window that a bucket may hold.
+const DEPTH_OVERAGE_FRACTION: f64 = 0.5;
 
-/// The part of the slack that a bucket may hold besides.
-const DEPTH_SLACK_PART: f64 = 0.4;
+/// Part of the slack that a bucket may hold in addition.
+const DEPTH_SLACK_FRACTION: f64 = 0.4;
 
 impl Config {
-    /// How long a grant may be used.
+    /// Returns how long a grant may be used.
     pub fn lifetime(&self) -> Millis {
-        let span = self.window.0 as f64 * self.overage * LIFETIME_PART;
-        Millis((span as u64).clamp(LIFETIME_MIN.0, LIFETIME_MAX.0))
+        let millis =
+            self.window.0 as f64 * self.overage * LIFETIME_OVERAGE_FRACTION;
+        Millis(
+            (millis as u64).clamp(MIN_GRANT_LIFETIME.0, MAX_GRANT_LIFETIME.0),
+        )
     }
 
-    /// What a bucket holds at its beginning.
-    fn start(&self) -> f64 {
-        self.slack * START_PART
+    /// Returns the number of tokens with which a bucket starts.
+    fn initial_tokens(&self) -> f64 {
+        self.slack * INITIAL_SLACK_FRACTION
     }
 
-    /// The bucket that deals a quota.
+    /// Returns the size of the bucket that enforces a quota.
     ///
-    /// A window may hold what the rate brings in it, and the burst. So the
-    /// burst is spread over the window, which serves whoever asks for a little
-    /// more than the rate for long, and the bucket itself is no deeper than
-    /// what the window tolerates: an allocator that ends takes its past along,
-    /// and the next one may deal as much again.
-    fn size(&self, quota: Quota) -> Size {
+    /// A window may hold what the rate earns in it, plus the burst. The burst
+    /// is spread over the window, which lets an account exceed its rate a
+    /// little for a long time. The depth stays within the tolerance of the
+    /// window, because the next allocator knows nothing of what the last one
+    /// granted and may grant as much again.
+    fn bucket_size(&self, quota: Quota) -> Size {
         let window = self.window.secs();
-        let whole = quota.rate * window + quota.burst;
-        let depth = whole * self.overage * DEPTH_PART;
+        let limit = quota.rate * window + quota.burst;
+        let depth = limit * self.overage * DEPTH_OVERAGE_FRACTION;
         Size {
-            rate: whole / window,
-            depth: depth + self.slack * DEPTH_SLACK_PART,
+            rate: limit / window,
+            depth: depth + self.slack * DEPTH_SLACK_FRACTION,
         }
     }
 }
 
-/// What a node asks the allocator of an account.
+/// Request of a node to the allocator of an account.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize,
 )]
-pub struct Ask {
+pub struct Request {
     /// Requests that wait for a grant.
     pub needed: u32,
-    /// Requests that are likely to come while a grant lives.
+    /// Requests that are expected within the lifetime of a grant.
     pub expected: u32,
-    /// Grants that were not used.
+    /// Tokens that were granted and not used.
     pub returned: u32,
-    /// Runs without a grant: repeats, and what was let in alone.
+    /// Runs without a token: retries, and requests admitted locally.
     pub spent: u32,
 }
 
-/// What an allocator grants.
+/// Tokens that an allocator grants.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Grant {
-    /// Requests.
+    /// Number of tokens.
     pub count: u32,
-    /// How long they may be used, from the moment at which they were asked
-    /// for.
+    /// How long the tokens may be used, counted from when they were requested.
     pub lifetime: Millis,
-    /// When there is likely to be room for what was not granted.
+    /// When tokens for the denied requests are likely to be available.
     pub retry: Millis,
 }
 
-/// What a node that was asked answers.
+/// Response to a [`Request`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub enum Answer {
-    /// It is the allocator.
+pub enum Response {
+    /// The node is the allocator.
     Granted(Grant),
-    /// It reaches a node that should be.
-    Elsewhere,
+    /// The node is not the allocator by its own view of the fleet.
+    #[serde(rename = "Elsewhere")]
+    NotAllocator,
 }
 
-/// The allocator of an account among these nodes: the same on every node
-/// that reaches the same, and spread evenly over accounts.
-pub fn place(
+/// Returns the allocator of an account among these nodes. The result is the
+/// same on every node that sees the same nodes.
+pub fn allocator_for(
     account: &Account,
     nodes: impl IntoIterator<Item = NodeId>,
 ) -> Option<NodeId> {
--- a/crates/walnutmoor-core/src/quota/allocator.rs
+++ b/crates/walnutmoor-core/src/quota/allocator.rs
@@ -1,30 +1,30 @@
 /*!
-The node that deals an account's quota.
+Grants requests out of the quotas of accounts.
 */
 
-use super::{Ask, Config, Grant, bucket::Bucket};
+use super::{Config, Grant, Request, bucket::Bucket};
 use crate::{account::Quota, digest::Map, id::Account, time::Millis};
 
-/// The nodes that there are, as one of them knows.
+/// Size of the fleet as one node sees it.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Fleet {
-    /// Nodes that it reaches, itself included.
-    pub reached: usize,
-    /// Nodes that there are, reached or not; 0 if nobody has told yet.
+    /// Nodes that it reaches, including itself.
+    pub reachable: usize,
+    /// All nodes, reachable or not; 0 while unknown.
     pub known: usize,
 }
 
 impl Fleet {
-    /// The part of the fleet that is reached.
-    fn part(self) -> f64 {
+    /// Returns the fraction of the fleet that is reachable.
+    fn reachable_fraction(self) -> f64 {
         match self.known {
             0 => 0.0,
-            known => (self.reached as f64 / known as f64).min(1.0),
+            known => (self.reachable as f64 / known as f64).min(1.0),
         }
     }
 
-    /// One node's even part of the fleet.
-    pub(super) fn even(self) -> f64 {
+    /// Returns the even share of one node.
+    pub(super) fn even_share(self) -> f64 {
         match self.known {
             0 => 0.0,
             known => 1.0 / known as f64,
@@ -32,41 +32,44 @@
     }
 }
 
-/// The longest span after which a caller is told to come back.
-const RETRY_MAX: Millis = Millis(30_000);
+/// Maximum delay after which a caller is told to retry.
+const MAX_RETRY_DELAY: Millis = Millis(30_000);
 
-/// Deals the quotas of the accounts whose allocator this node is.
+/// Token buckets of the accounts whose allocator this node is.
 #[derive(Debug)]
 pub struct Allocator {
     config: Config,
     buckets: Map<Account, Bucket>,
     fleet: Fleet,
-    /// Since when the fleet looks as it does. Who is the allocator of what
-    /// has not changed since then.
-    settled: Millis,
+    /// When the fleet last changed. The allocators of accounts have been the
+    /// same since then.
+    stable_since: Millis,
 }
 
 impl Allocator {
-    /// Deals nothing until it has been told of the fleet.
+    /// Creates an allocator that grants nothing until [`set_fleet`] was
+    /// called.
+    ///
+    /// [`set_fleet`]: Allocator::set_fleet
     pub fn new(config: Config) -> Allocator {
         Allocator {
             config,
             buckets: Map::default(),
             fleet: Fleet::default(),
-            settled: Millis(0),
+            stable_since: Millis(0),
         }
     }
 
-    /// What the fleet looks like from now on.
-    pub fn see(&mut self, now: Millis, fleet: Fleet) {
+    /// Updates the size of the fleet.
+    pub fn set_fleet(&mut self, now: Millis, fleet: Fleet) {
         if fleet == self.fleet {
             return;
         }
-        let before = self.fleet.part();
+        let before = self.fleet.reachable_fraction();
         self.fleet = fleet;
-        self.settled = now;
-        let after = self.fleet.part();
-        // Whatever was dealt before the fleet was known begins anew.
+        self.stable_since = now;
+        let after = self.fleet.reachable_fraction();
+        // Grants made before the fleet was known are not carried over.
         if before == 0.0 {
             self.buckets.clear();
         }
@@ -74,61 +77,63 @@
             return;
         }
         for bucket in self.buckets.values_mut() {
-            bucket.share(now, before, after);
+            bucket.rescale(now, before, after);
         }
     }
 
-    /// This node has stood still, and others have dealt meanwhile.
+    /// Discards all buckets, after a pause of this node in which other nodes
+    /// may have been the allocator.
     pub fn reset(&mut self, now: Millis) {
         self.buckets.clear();
-        self.settled = now;
+        self.stable_since = now;
     }
 
-    /// Forgets accounts that others deal, or that are there no more.
+    /// Keeps only the accounts for which `keep` returns true.
     pub fn retain(&mut self, mut keep: impl FnMut(&Account) -> bool) {
         self.buckets.retain(|account, _| keep(account));
     }
 
-    /// Accounts with a bucket here.
+    /// Returns the number of accounts with a bucket.
     pub fn len(&self) -> usize {
         self.buckets.len()
     }
 
-    /// True if there are none.
+    /// Returns true if there are no buckets.
     pub fn is_empty(&self) -> bool {
         self.buckets.is_empty()
     }
 
-    /// Grants what an account has room for.
-    pub fn ask(
+    /// Grants as much of a request as the account has tokens for.
+    pub fn grant(
         &mut self,
         now: Millis,
         account: &Account,
         quota: Quota,
-        ask: Ask,
+        request: Request,
     ) -> Grant {
-        let part = self.fleet.part();
-        let size = self.config.size(quota).part(part);
-        let earned = size.rate * now.since(self.settled).secs();
-        let start = self.config.start() * part + earned;
+        let fraction = self.fleet.reachable_fraction();
+        let size = self.config.bucket_size(quota).scaled(fraction);
+        let earned = size.rate * now.since(self.stable_since).secs();
+        let tokens = self.config.initial_tokens() * fraction + earned;
         let lifetime = self.config.lifetime();
         let bucket = match self.buckets.get_mut(account) {
             Some(bucket) => bucket,
             None => {
-                let bucket = Bucket::new(now, size, start);
+                let bucket = Bucket::new(now, size, tokens);
                 self.buckets.entry(account.clone()).or_insert(bucket)
             }
         };
         bucket.resize(now, size);
-        bucket.adjust(ask.returned, ask.spent);
-        let needed = bucket.take(ask.needed, 0.0);
-        // What is only expected is left to others once it gets short.
-        let half = bucket.half();
-        let expected = bucket.take(ask.expected, half);
-        let denied = ask.needed - needed;
+        bucket.adjust(request.returned, request.spent);
+        let needed = bucket.take(request.needed, 0.0);
+        // Expected requests get tokens only from the upper half of the bucket,
+        // so that they don't starve waiting ones of other nodes.
+        let reserve = bucket.half_depth();
+        let expected = bucket.take(request.expected, reserve);
+        let denied = request.needed - needed;
         let retry = match denied {
             0 => Millis(0),
-            denied => bucket.turn_away(denied).min(RETRY_MAX),
+            denied => bucket.defer(denied).min(MAX_RETRY_DELAY),
         };
         Grant { count: needed + expected, lifetime, retry }
     }
--- a/crates/walnutmoor-core/src/quota/lease.rs
+++ b/crates/walnutmoor-core/src/quota/lease.rs
@@ -1,10 +1,10 @@
 /*!
-What one node may still let in of each account.
+Tokens that one node holds for each account.
 */
 
 use std::collections::VecDeque;
 
-use super::{Answer, Ask, Config, Fleet, Grant};
+use super::{Config, Fleet, Grant, Request, Response};
 use crate::{
     account::Quota,
     digest::Map,
@@ -12,198 +12,207 @@
     time::Millis,
 };
 
-/// How long an allocator that did not answer is not asked again.
-const SILENT: Millis = Millis(250);
+/// How long an allocator is not asked again after it did not respond.
+const SILENT_ALLOCATOR_BACKOFF: Millis = Millis(250);
 
-/// The longest span in which nothing is asked after a denial. Requests that
-/// come meanwhile are refused without a message, so a flood costs its
-/// allocator a few messages a second from each node.
-const DENIED_MAX: Millis = Millis(100);
+/// Maximum time in which no request is sent to the allocator after a denial.
+/// Requests that arrive meanwhile are refused locally, which bounds the
+/// messages that a flood causes.
+const MAX_DENIAL_BACKOFF: Millis = Millis(100);
 
-/// The part of the span until there is room after which it is asked again.
-const DENIED_PART: u64 = 4;
+/// Divisor of the time until tokens are available, after which the allocator
+/// is asked again.
+const DENIAL_BACKOFF_DIVISOR: u64 = 4;
 
-/// How soon what a node expects of an account is forgotten: half of it after
-/// some seven tenths of this span.
-const EXPECTED_OVER: Millis = Millis(250);
+/// Time constant of the exponential decay of expected requests.
+const ARRIVAL_DECAY: Millis = Millis(250);
 
-/// What becomes of a request that asks for its account's quota.
+/// Decision on a request of an account.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Take {
-    /// It is let in.
-    Go,
-    /// It is refused; when there is likely to be room.
+pub enum Decision {
+    /// It is admitted.
+    Admit,
+    /// It is refused; tokens are likely to be available after this time.
     Refuse(Millis),
-    /// It waits for the allocator, which is to be asked this unless it has
-    /// been asked before.
-    Wait(Option<Ask>),
-    /// The allocator is silent: see [`Lease::alone`].
-    Alone,
+    /// It waits for the allocator. If there is a [`Request`], it must be sent;
+    /// otherwise one is already pending.
+    Wait(Option<Request>),
+    /// The allocator is unreachable; see [`Lease::admit_locally`].
+    Local,
 }
 
-/// Requests that waited, and what an answer means for them.
+/// Decisions on waiting requests.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Settled {
-    /// They are let in.
-    pub go: Vec<CallId>,
-    /// They are refused, each with the span until there is likely room.
+pub struct Resolution {
+    /// Requests that are admitted.
+    pub admitted: Vec<CallId>,
+    /// Requests that are refused, each with the time until tokens are likely
+    /// to be available.
     pub refused: Vec<(CallId, Millis)>,
-    /// There is nobody to be asked: see [`Lease::alone`].
-    pub alone: Vec<CallId>,
-    /// The node that was asked is not the allocator: see [`Leases::again`].
-    pub elsewhere: bool,
-    /// What is to be asked next.
-    pub ask: Option<Ask>,
+    /// Requests without a reachable allocator; see [`Lease::admit_locally`].
+    pub local: Vec<CallId>,
+    /// The node that responded is not the allocator; see [`Leases::retry`].
+    pub not_allocator: bool,
+    /// The next request to send to the allocator.
+    pub request: Option<Request>,
 }
 
-/// What is known of one account.
+/// State of one account at one node.
 #[derive(Clone, Debug, Default)]
 pub struct Lease {
-    count: u32,
-    until: Millis,
-    /// Nothing is asked until the first; there is room after the second.
+    tokens: u32,
+    expires: Millis,
+    /// Set after a denial: when the allocator may be asked again, and when
+    /// tokens are likely to be available.
     denied: Option<(Millis, Millis)>,
-    silent: Option<Millis>,
+    silent_until: Option<Millis>,
     waiting: VecDeque<CallId>,
-    /// What the allocator was asked, and when.
-    asked: Option<(Millis, Ask)>,
+    /// The request sent to the allocator, and when.
+    pending: Option<(Millis, Request)>,
     returned: u32,
     spent: u32,
     expected: f64,
-    counted: Millis,
-    /// What is left of the own part, and when it was reckoned.
-    own: Option<(Millis, f64)>,
+    last_arrival: Millis,
+    /// Tokens left of the local share, and when they were computed.
+    local: Option<(Millis, f64)>,
 }
 
 impl Lease {
-    fn take(&mut self, now: Millis, id: CallId) -> Take {
-        self.lapse(now);
-        self.count(now);
-        if self.count > 0 && self.waiting.is_empty() {
-            self.count -= 1;
-            return Take::Go;
+    fn acquire(&mut self, now: Millis, id: CallId) -> Decision {
+        self.expire(now);
+        self.record_arrival(now);
+        if self.tokens > 0 && self.waiting.is_empty() {
+            self.tokens -= 1;
+            return Decision::Admit;
         }
         match self.denied {
-            Some((until, room)) if now < until => {
-                return Take::Refuse(room.since(now));
+            Some((retry_at, available_at)) if now < retry_at => {
+                return Decision::Refuse(available_at.since(now));
             }
             _ => self.denied = None,
         }
-        if self.silent.is_some_and(|until| now < until) {
-            return Take::Alone;
+        if self.silent_until.is_some_and(|until| now < until) {
+            return Decision::Local;
         }
-        self.silent = None;
+        self.silent_until = None;
         self.waiting.push_back(id);
-        match self.asked {
-            Some(_) => Take::Wait(None),
-            None => Take::Wait(Some(self.ask(now))),
+        match self.pending {
+            Some(_) => Decision::Wait(None),
+            None => Decision::Wait(Some(self.request(now))),
         }
     }
 
-    /// Grants that nobody used in time go back.
-    fn lapse(&mut self, now: Millis) {
-        if now >= self.until {
-            self.returned = self.returned.saturating_add(self.count);
-            self.count = 0;
+    /// Returns tokens whose lifetime has ended.
+    fn expire(&mut self, now: Millis) {
+        if now >= self.expires {
+            self.returned = self.returned.saturating_add(self.tokens);
+            self.tokens = 0;
         }
     }
 
-    /// Counts a request towards what is expected.
-    fn count(&mut self, now: Millis) {
-        let spans = now.since(self.counted).secs() / EXPECTED_OVER.secs();
-        self.expected = self.expected * (-spans).exp() + 1.0;
-        self.counted = now;
+    /// Counts a request towards the expected ones.
+    fn record_arrival(&mut self, now: Millis) {
+        let decay = now.since(self.last_arrival).secs() / ARRIVAL_DECAY.secs();
+        self.expected = self.expected * (-decay).exp() + 1.0;
+        self.last_arrival = now;
     }
 
-    fn ask(&mut self, now: Millis) -> Ask {
+    fn request(&mut self, now: Millis) -> Request {
         let needed = self.waiting.len() as u32;
-        let ask = Ask {
+        let request = Request {
             needed,
-            // Whole requests only: most accounts send a node one at times,
-            // and what it held for the next would lie idle.
+            // Rounded down: a token held for an account that rarely sends
+            // requests to this node would be unused.
             expected: (self.expected as u32).saturating_sub(needed),
             returned: std::mem::take(&mut self.returned),
             spent: std::mem::take(&mut self.spent),
         };
-        self.asked = Some((now, ask));
-        ask
+        self.pending = Some((now, request));
+        request
     }
 
-    /// Asks once more, if somebody still waits.
-    fn again(&mut self, now: Millis) -> Option<Ask> {
-        let (_, former) = self.asked.filter(|_| !self.waiting.is_empty())?;
+    /// Repeats the pending request if any requests still wait.
+    fn retry(&mut self, now: Millis) -> Option<Request> {
+        let (_, former) = self.pending.filter(|_| !self.waiting.is_empty())?;
         self.returned = self.returned.saturating_add(former.returned);
         self.spent = self.spent.saturating_add(former.spent);
-        Some(self.ask(now))
+        Some(self.request(now))
     }
 
-    /// Nobody answers. What was used may not have been heard of; what was
-    /// given back may have been.
-    fn give_up(&mut self, now: Millis) -> Settled {
-        if let Some((_, ask)) = self.asked.take() {
-            self.spent = self.spent.saturating_add(ask.spent);
+    /// Decides waiting requests without the allocator. Whether it handled the
+    /// pending request is unknown, so spent tokens are reported again and
+    /// returned ones are not.
+    fn give_up(&mut self, now: Millis) -> Resolution {
+        if let Some((_, request)) = self.pending.take() {
+            self.spent = self.spent.saturating_add(request.spent);
         }
-        self.silent = Some(now + SILENT);
-        let alone = self.waiting.drain(..).collect();
-        Settled { alone, ..Settled::default() }
+        self.silent_until = Some(now + SILENT_ALLOCATOR_BACKOFF);
+        let local = self.waiting.drain(..).collect();
+        Resolution { local, ..Resolution::default() }
     }
 
-    fn hear(&mut self, now: Millis, answer: Answer) -> Settled {
-        match (answer, self.asked) {
-            (Answer::Granted(grant), Some((asked, ask))) => {
-                self.asked = None;
-                self.settle(now, asked, ask.needed, grant)
+    fn handle_response(
+        &mut self,
+        now: Millis,
+        response: Response,
+    ) -> Resolution {
+        match (response, self.pending) {
+            (Response::Granted(grant), Some((asked, request))) => {
+                self.pending = None;
+                self.resolve(now, asked, request.needed, grant)
             }
-            // Views of the fleet differ for a moment when it changes.
-            (Answer::Elsewhere, Some(_)) => {
-                Settled { elsewhere: true, ..Settled::default() }
+            // Views of the fleet differ for a moment after a change.
+            (Response::NotAllocator, Some(_)) => {
+                Resolution { not_allocator: true, ..Resolution::default() }
             }
-            // It was given up before.
-            (_, None) => Settled::default(),
+            // The request was abandoned before the response arrived.
+            (_, None) => Resolution::default(),
         }
     }
 
-    fn settle(
+    fn resolve(
         &mut self,
         now: Millis,
         asked: Millis,
         needed: u32,
         grant: Grant,
-    ) -> Settled {
-        let mut settled = Settled::default();
+    ) -> Resolution {
+        let mut resolution = Resolution::default();
         let mut left = grant.count;
         while left > 0 {
             let Some(id) = self.waiting.pop_front() else {
                 break;
             };
-            settled.go.push(id);
+            resolution.admitted.push(id);
             left -= 1;
         }
         if left > 0 {
-            self.lapse(now);
-            self.count += left;
-            self.until = asked + grant.lifetime;
+            self.expire(now);
+            self.tokens += left;
+            self.expires = asked + grant.lifetime;
         }
         if grant.count < needed {
-            let room = grant.retry;
-            let pause = Millis(room.0 / DENIED_PART).min(DENIED_MAX);
-            self.denied = Some((now + pause, now + room));
-            let refused = self.waiting.drain(..).map(|id| (id, room));
-            settled.refused = refused.collect();
+            let delay = grant.retry;
+            let backoff = Millis(delay.0 / DENIAL_BACKOFF_DIVISOR)
+                .min(MAX_DENIAL_BACKOFF);
+            self.denied = Some((now + backoff, now + delay));
+            let refused = self.waiting.drain(..).map(|id| (id, delay));
+            resolution.refused = refused.collect();
         }
         if !self.waiting.is_empty() {
-            settled.ask = Some(self.ask(now));
+            resolution.request = Some(self.request(now));
         }
-        settled
+        resolution
     }
 
-    /// Whether a request is let in by a node that has nobody to ask; `draw`
-    /// is a random number in 0 to 1.
+    /// Returns true if a request is admitted without an allocator. `draw` is a
+    /// uniform random number in 0 to 1.
     ///
-    /// Each node has its even part of the quota. It is mostly less than one
-    /// request, so whether that one is let in is drawn: over many nodes the
-    /// parts add up, and on one the part that was drawn too early is owed.
-    pub fn alone(
+    /// Each node has an even share of the quota, usually less than one
+    /// request. Admission is therefore random, so that the shares of many
+    /// nodes add up to the quota, and a node that admits a request early goes
+    /// into debt.
+    pub fn admit_locally(
         &mut self,
         now: Millis,
         config: Config,
@@ -211,33 +220,35 @@
         fleet: Fleet,
         draw: f64,
     ) -> bool {
-        let even = fleet.even();
-        let size = config.size(quota).part(even);
-        let left = match self.own {
+        let share = fleet.even_share();
+        let size = config.bucket_size(quota).scaled(share);
+        let left = match self.local {
             Some((at, left)) => {
                 let earned = size.rate * now.since(at).secs();
                 (left + earned).min(size.depth)
             }
-            None => config.start() * even,
+            None => config.initial_tokens() * share,
         };
-        let goes = draw < left;
-        let used = if goes { 1.0 } else { 0.0 };
-        self.spent += u32::from(goes);
-        self.own = Some((now, left - used));
-        goes
+        let is_admitted = draw < left;
+        let used = if is_admitted { 1.0 } else { 0.0 };
+        self.spent += u32::from(is_admitted);
+        self.local = Some((now, left - used));
+        is_admitted
     }
 
-    /// True if nothing would be lost by forgetting it.
+    /// Returns true if the state can be dropped without loss.
     fn is_idle(&self, now: Millis) -> bool {
-        let asks = self.asked.is_some() || !self.waiting.is_empty();
-        !asks && now >= self.until && now.since(self.counted) > IDLE
+        let is_asking = self.pending.is_some() || !self.waiting.is_empty();
+        !is_asking
+            && now >= self.expires
+            && now.since(self.last_arrival) > IDLE_TIMEOUT
     }
 }
 
-/// How long an account is remembered that nobody uses.
-const IDLE: Millis = Millis(60_000);
+/// How long the state of an unused account is kept.
+const IDLE_TIMEOUT: Millis = Millis(60_000);
 
-/// What one node may let in of all accounts.
+/// Leases of all accounts at one node.
 #[derive(Debug, Default)]
 pub struct Leases {
     accounts: Map<Account, Lease>,
@@ -248,40 +259,45 @@
         self.accounts.entry(account.clone()).or_default()
     }
 
-    /// A request of an account comes.
-    pub fn take(
+    /// Decides on a request of an account.
+    pub fn acquire(
         &mut self,
         now: Millis,
         account: &Account,
         id: CallId,
-    ) -> Take {
-        self.lease(account).take(now, id)
+    ) -> Decision {
+        self.lease(account).acquire(now, id)
     }
 
-    /// The allocator has answered.
-    pub fn hear(
+    /// Handles the response of an allocator.
+    pub fn handle_response(
         &mut self,
         now: Millis,
         account: &Account,
-        answer: Answer,
-    ) -> Settled {
-        self.lease(account).hear(now, answer)
+        response: Response,
+    ) -> Resolution {
+        self.lease(account).handle_response(now, response)
     }
 
-    /// What is to be asked a moment after the answer came from a node that
-    /// was not the allocator.
-    pub fn again(&mut self, now: Millis, account: &Account) -> Option<Ask> {
-        self.lease(account).again(now)
+    /// Returns the request to send again, shortly after a response from a node
+    /// that was not the allocator.
+    pub fn retry(
+        &mut self,
+        now: Millis,
+        account: &Account,
+    ) -> Option<Request> {
+        self.lease(account).retry(now)
     }
 
-    /// Nobody can be asked, or nobody answers: those that wait decide alone,
-    /// as do those that come within a moment.
-    pub fn give_up(&mut self, now: Millis, account: &Account) -> Settled {
+    /// Decides waiting requests locally because no allocator responds, and
+    /// requests that arrive within a short time as well.
+    pub fn give_up(&mut self, now: Millis, account: &Account) -> Resolution {
         self.lease(account).give_up(now)
     }
 
-    /// Whether a request is let in without an allocator.
-    pub fn alone(
+    /// Returns true if a request is admitted without an allocator; see
+    /// [`Lease::admit_locally`].
+    pub fn admit_locally(
         &mut self,
         now: Millis,
         account: &Account,
@@ -290,40 +306,40 @@
         fleet: Fleet,
         draw: f64,
     ) -> bool {
-        self.lease(account).alone(now, config, quota, fleet, draw)
+        self.lease(account).admit_locally(now, config, quota, fleet, draw)
     }
 
-    /// A request that was let in has ended, after so many runs. What did not
-    /// run is given back; a repeat uses the quota once more.
-    pub fn end(&mut self, now: Millis, account: &Account, runs: u32) {
+    /// Records that an admitted request ended after `runs` runs. A request
+    /// that did not run returns its token, and each retry spends another one.
+    pub fn finish(&mut self, now: Millis, account: &Account, runs: u32) {
         let lease = self.lease(account);
         match runs {
-            0 if now < lease.until => lease.count += 1,
+            0 if now < lease.expires => lease.tokens += 1,
             0 => lease.returned = lease.returned.saturating_add(1),
             runs => lease.spent = lease.spent.saturating_add(runs - 1),
         }
     }
 
-    /// The desired state has changed: what was denied under the former one
-    /// is asked for again, and accounts that are gone are forgotten.
-    pub fn renew(&mut self, mut keep: impl FnMut(&Account) -> bool) {
+    /// Applies a changed desired state: drops earlier denials, and the
+    /// accounts for which `keep` returns false unless requests of theirs wait.
+    pub fn reconfigure(&mut self, mut keep: impl FnMut(&Account) -> bool) {
         self.accounts.retain(|account, lease| {
             lease.denied = None;
             keep(account) || !lease.waiting.is_empty()
         });
     }
 
-    /// Forgets accounts that nobody uses.
-    pub fn sweep(&mut self, now: Millis) {
+    /// Drops accounts that are not used.
+    pub fn evict_idle(&mut self, now: Millis) {
         self.accounts.retain(|_, lease| !lease.is_idle(now));
     }
 
-    /// Accounts that are remembered.
+    /// Returns the number of accounts.
     pub fn len(&self) -> usize {
         self.accounts.len()
     }
 
-    /// True if there are none.
+    /// Returns true if there are no accounts.
     pub fn is_empty(&self) -> bool {
         self.accounts.is_empty()
     }
--- a/crates/walnutmoor-core/src/throttle.rs
+++ b/crates/walnutmoor-core/src/throttle.rs
@@ -1,27 +1,26 @@
 /*!
-Admission at the way in, by route.
-
-The load pattern: a service deep in the graph is short of slots, so requests
-are let in at the top, run, call, are turned away below and fail after they
-have used everything above. Refusing a part of them at the way in costs
-less and lets the rest finish.
-
-Two things are learned. *Which* routes lead to the service that is short: each
-answer brings along how long its runs held slots, by service; before any has
-come, those whose requests run and fail while that service turns work away.
-*How much* fits: instances tell how much work they are asked for, as a part of
-what they can do. For the less urgent, what is let in goes at once to what
-fits, reckoned from the demand and from what was let in while it arose.
-
-The most urgent is cut only when nothing is left to cut below it and the
-demand of the most urgent alone is too much. A part of the less urgent is
-always let in, and where it alone makes the demand too high, the most urgent is
-not cut for it. Calls that an instance makes are never cut here:
-refusing one wastes the request that made it.
-
-What it brings, by the replay in `tests/overload.rs` at 1.3 times what fits:
-of 53,824 lookups 32,512 fail half-way without it, and fewer than a tenth of
-that with it, while nine tenths as many or more are served in time.
+Adaptive admission control at the ingress, per route.
+
+Guards against wasted work under overload: when a service deep in the call
+graph runs out of slots, requests that were admitted at the top run, have a
+call shed further down and fail after they have used everything above.
+Rejecting a fraction of them at the ingress costs less and lets the rest
+complete.
+
+The throttle learns two things:
+
+- Which routes lead to the overloaded service. Each answer carries the slot
+  time that its runs used, by service ([`Footprint`]). Before the first such
+  answer, a route counts as leading there if its requests fail while the
+  service sheds load.
+- How much load fits. Instances report the demand for their slots as a fraction
+  of their capacity. For less urgent routes, the admitted fraction is computed
+  directly from that demand and from what was admitted while it arose.
+
+Urgent routes are cut only if their own demand exceeds capacity and no less
+urgent route can be cut further. A minimum of the less urgent traffic is always
+admitted, and urgent routes are never cut on its account. Calls that instances
+make are never rejected here: rejecting one wastes the request that made it.
 
 # Example
 
@@ -30,8 +29,8 @@
 
 let mut throttle = Throttle::new();
 for _ in 0..20 {
-    throttle.ended("claims", 0, Ended::Served);
-    throttle.ended("lookups", 2, Ended::Starved);
+    throttle.record_outcome("claims", 0, Outcome::Completed);
+    throttle.record_outcome("lookups", 2, Outcome::Overloaded);
 }
 let pressed = true;
 let none = Pressure::default();
@@ -45,7 +44,7 @@
 mod route;
 
 use completion::Services;
-use route::{AIM, FLOOR, Gauge, URGENT};
+use route::{MAX_URGENT_PRIORITY, MIN_ADMITTED, Route, TARGET_UTILIZATION};
 
 use crate::{
     balance::{Pressure, Pressures},
@@ -54,258 +53,277 @@
     repeat::Asker,
 };
 
-/// How a request ended that was let in.
+/// How an admitted request ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ended {
-    /// With the instance's good answer.
-    Served,
-    /// The instance ran it and failed, as it does when its own calls fail.
-    Starved,
+pub enum Outcome {
+    /// Not affected by overload.
+    Completed,
+    /// The run failed because a call that it made was refused or timed out.
+    Overloaded,
 }
 
-/// The share of failures from which a route is taken to lead to a service
-/// that turns work away. Instances fail up to one request in a hundred in
-/// calm times.
-const SHARES_AT: f64 = 0.06;
+/// Overload rate above which a route is assumed to lead to the service that
+/// sheds load. It lies above the usual rate of failures.
+const OVERLOAD_RATE_THRESHOLD: f64 = 0.06;
 
-/// Demand above which a part of the most urgent is cut. Found, with the next
-/// ones, by replaying loads of two to four times what fits.
-const CUT_AT: f64 = 1.02;
+/// Demand above which urgent routes are cut.
+const URGENT_CUT_DEMAND: f64 = 1.02;
 
-/// Demand from which a service counts as full. Below it failures have other
-/// causes, and cutting for them costs the most urgent requests.
-const FULL_AT: f64 = 0.85;
+/// Demand above which a service counts as full. Below it, failures have other
+/// causes.
+const FULL_DEMAND: f64 = 0.85;
 
-/// The share of failures from which they hide demand.
-const HIDES_AT: f64 = 0.2;
+/// Overload rate above which failures are assumed to hide demand.
+const HIDING_OVERLOAD_RATE: f64 = 0.2;
 
-/// The demand that a share of failures hides.
-const HIDDEN: f64 = 0.3;
+/// Demand that is assumed to be hidden, per unit of overload rate.
+const HIDDEN_DEMAND_FACTOR: f64 = 0.3;
 
-/// Demand up to which more of the most urgent is let in. The gap to [`CUT_AT`] is wider than
-/// the noise of a second of arrivals.
-const RAISE_AT: f64 = 0.95;
+/// Demand below which urgent routes are raised again. The gap to
+/// [`URGENT_CUT_DEMAND`] absorbs the noise of short-term arrivals.
+const URGENT_RAISE_DEMAND: f64 = 0.95;
 
-/// The least and the most that one cut leaves.
-const CUT: (f64, f64) = (0.7, 0.95);
+/// Bounds of the factor that one cut applies to the admitted fraction.
+const CUT_FACTOR_RANGE: (f64, f64) = (0.7, 0.95);
 
-/// What is let in more after a step, as a part of what is let in and of the
-/// room that is left. The effect of a step shows after some five of them, so
-/// a larger part overshoots.
-const RAISE: f64 = 0.25;
+/// Part of the remaining headroom by which the admitted fraction grows in one
+/// step. The effect of a step shows only several steps later, so a larger part
+/// overshoots.
+const RAISE_FRACTION: f64 = 0.25;
 
-/// What is let in more at the least, so that a small part grows as well.
-const RAISE_MIN: f64 = 0.01;
+/// Minimum growth in one step, so that small fractions recover as well.
+const MIN_RAISE: f64 = 0.01;
 
-/// How much more often one is let in that was refused before. More than this
-/// lets in a multiple of what fits where little is open, as all that were
-/// refused come back once.
-const RETURNS: f64 = 1.5;
+/// Factor on the chance of admission for a request that was rejected before. A
+/// larger one admits more than fits when little is admitted, because all
+/// rejected requests come back.
+const RETRY_PREFERENCE: f64 = 1.5;
 
-/// What is left of the counts after a step.
-const DECAY: f64 = 0.8;
+/// Factor by which the outcome counts decay in each step.
+const COUNT_DECAY: f64 = 0.8;
 
-/// Steps in which nothing is cut again: the effect of a cut shows once the
-/// requests that were let in before it have made their calls.
-const SETTLE: u8 = 2;
+/// Steps after a cut without another one. A cut takes effect once the requests
+/// admitted before it have made their calls.
+const CUT_COOLDOWN_STEPS: u8 = 2;
 
-/// Steps without a sign of trouble after which a route that is wholly open
-/// is no longer taken to lead to the service that was short: 10 s.
-const FORGET: u8 = 50;
+/// Steps without overload after which a fully admitted route is no longer
+/// assumed to lead to the overloaded service.
+const SUSPECT_STEPS: u8 = 50;
 
-/// What is let in after a step with this much room.
-fn raised(open: f64, room: f64) -> f64 {
-    (open + open * room * RAISE + RAISE_MIN).min(1.0)
+/// Returns the admitted fraction after one step with this headroom.
+fn raised(admitted: f64, headroom: f64) -> f64 {
+    (admitted + admitted * headroom * RAISE_FRACTION + MIN_RAISE).min(1.0)
 }
 
-/// The admission of all routes at one node.
+/// Admission control for all routes of one node.
 #[derive(Debug, Default)]
 pub struct Throttle {
-    routes: Map<String, Gauge>,
+    routes: Map<String, Route>,
     services: Services,
-    settle: u8,
+    cut_cooldown: u8,
 }
 
 impl Throttle {
-    /// Lets everything in.
+    /// Creates a throttle that admits everything.
     pub fn new() -> Throttle {
         Throttle::default()
     }
 
-    /// Whether a request is let in; `draw` is a random number in 0 to 1.
+    /// Returns true if a request is admitted. `draw` is a uniform random
+    /// number in 0 to 1.
     ///
-    /// One that was refused before is preferred: a second refusal costs its
-    /// caller more than a first.
-    pub fn admits(&self, route: &str, returns: bool, draw: f64) -> bool {
-        let Some(gauge) = self.routes.get(route) else {
+    /// Requests that were rejected before are preferred, because a second
+    /// rejection costs the caller more than the first.
+    pub fn admits(&self, route: &str, is_retry: bool, draw: f64) -> bool {
+        let Some(state) = self.routes.get(route) else {
             return true;
         };
-        let preference = if returns { RETURNS } else { 1.0 };
-        draw < gauge.open * preference
+        let preference = if is_retry { RETRY_PREFERENCE } else { 1.0 };
+        draw < state.admitted * preference
     }
 
-    /// True if a request that may run only once is likely to come to its
-    /// end: by itself, or with the repeats that are left for it.
-    pub fn carries(&self, route: &str, asker: Asker) -> bool {
-        let gauge = self.routes.get(route);
-        gauge.is_none_or(|g| g.cover.is_enough(&self.services, asker))
+    /// Returns true if a request that must not run twice is likely to
+    /// complete, either without retries or within the retry budget left for
+    /// it.
+    pub fn can_complete(&self, route: &str, asker: Asker) -> bool {
+        let state = self.routes.get(route);
+        state.is_none_or(|state| {
+            state.profile.can_complete(&self.services, asker)
+        })
     }
 
-    /// The part of the repeats that is spent where a request of this route is
-    /// likely to need one.
-    pub fn spent(&self, route: &str) -> f64 {
-        let gauge = self.routes.get(route);
-        gauge.map_or(0.0, |gauge| gauge.cover.spent(&self.services))
+    /// Returns the fraction of the retry budget that is spent at the services
+    /// where a request of this route is likely to need a retry.
+    pub fn retry_budget_spent(&self, route: &str) -> f64 {
+        let state = self.routes.get(route);
+        state.map_or(0.0, |state| state.profile.budget_spent(&self.services))
     }
 
-    /// The part of a route that is let in.
-    pub fn part(&self, route: &str) -> f64 {
-        self.routes.get(route).map_or(1.0, |gauge| gauge.open)
+    /// Returns the fraction of a route that is admitted.
+    pub fn admitted_fraction(&self, route: &str) -> f64 {
+        self.routes.get(route).map_or(1.0, |state| state.admitted)
     }
 
-    /// Learns from any answer what the services that it met turn away.
-    pub fn hear(&mut self, footprint: &Footprint) {
-        self.services.learn(footprint);
+    /// Records the shedding and retry budgets of the services that an answer
+    /// reports.
+    pub fn observe_services(&mut self, footprint: &Footprint) {
+        self.services.observe(footprint);
     }
 
-    /// Counts the end of a request that was let in.
-    pub fn ended(&mut self, route: &str, priority: u8, ended: Ended) {
-        let gauge = self.gauge(route, priority);
-        match ended {
-            Ended::Served => gauge.served += 1.0,
-            Ended::Starved => gauge.starved += 1.0,
+    /// Records the outcome of an admitted request.
+    pub fn record_outcome(
+        &mut self,
+        route: &str,
+        priority: u8,
+        outcome: Outcome,
+    ) {
+        let state = self.entry(route, priority);
+        match outcome {
+            Outcome::Completed => state.completed += 1.0,
+            Outcome::Overloaded => state.overloaded += 1.0,
         }
     }
 
-    /// Learns from an answered request what its route takes of services other
-    /// than `own`, the one that it was sent to.
-    pub fn learn(
+    /// Records the slot time and runs that an answered request of a route
+    /// used. `target` is the service that the request was sent to.
+    pub fn observe_route(
         &mut self,
         route: &str,
         priority: u8,
         footprint: &Footprint,
-        own: Key,
+        target: Key,
     ) {
-        self.gauge(route, priority).learn(footprint, own);
+        self.entry(route, priority).observe(footprint, target);
     }
 
-    /// True if a request that goes straight to a service takes less of it than
-    /// others of the less urgent that reach it by calls do on average.
+    /// Returns true if a request sent directly to a service uses less of its
+    /// slot time than the average less urgent request that reaches the service
+    /// through calls.
     ///
-    /// The load pattern: a service is short, and some ask one thing of it
-    /// while others ask eight. Behind all calls of those, the one thing was
-    /// turned away more often than they were; served among them, more people
-    /// are served in the same slots.
+    /// When a service is short of slots, serving such small requests among the
+    /// others lets more requests complete in the same slots.
     pub fn is_cheap(&self, route: &str, service: Key) -> bool {
-        let Some(gauge) = self.routes.get(route) else {
+        let Some(state) = self.routes.get(route) else {
             return false;
         };
-        let Some(own) = gauge.own.get(&service) else {
+        let Some(own_cost) = state.own_slot_ms.get(&service) else {
             return false;
         };
         let others = self.routes.values().filter(|other| !other.is_urgent());
-        let takes = others.filter_map(|other| other.takes.get(&service));
-        let (sum, count) = takes
-            .fold((0.0, 0), |(sum, count), takes| (sum + takes, count + 1));
-        !gauge.is_urgent() && count > 0 && own * f64::from(count) < sum
+        let costs = others.filter_map(|other| other.slot_ms.get(&service));
+        let (sum, count) =
+            costs.fold((0.0, 0), |(sum, count), cost| (sum + cost, count + 1));
+        !state.is_urgent() && count > 0 && own_cost * f64::from(count) < sum
     }
 
-    fn gauge(&mut self, route: &str, priority: u8) -> &mut Gauge {
+    fn entry(&mut self, route: &str, priority: u8) -> &mut Route {
         if !self.routes.contains_key(route) {
-            self.routes.insert(route.to_string(), Gauge::new(priority));
+            self.routes.insert(route.to_string(), Route::new(priority));
         }
-        let gauge = self.routes.get_mut(route);
-        let gauge = gauge.expect("one was inserted if none was there");
-        gauge.priority = priority;
-        gauge
+        let state = self.routes.get_mut(route);
+        let state = state.expect("one was inserted if none was there");
+        state.priority = priority;
+        state
     }
 
-    /// Adjusts all routes; called every 200 ms.
+    /// Adjusts the admitted fraction of all routes; called every 200 ms.
     ///
-    /// Returns the routes whose part changed, with the part.
+    /// Returns the routes whose fraction changed, with the new fraction.
     pub fn step(
         &mut self,
         pressures: impl Into<Pressures>,
     ) -> Vec<(String, f64)> {
         let pressures = pressures.into();
         let pressure = pressures.worst;
-        let hidden = self.hidden(pressure);
-        for gauge in self.routes.values_mut() {
-            let fails = gauge.failing() > SHARES_AT;
-            if (pressure.pressed && fails) || gauge.open < 1.0 {
-                gauge.shares = FORGET;
+        let hidden_demand = self.hidden_demand(pressure);
+        for state in self.routes.values_mut() {
+            let is_overloaded =
+                state.overload_rate() > OVERLOAD_RATE_THRESHOLD;
+            if (pressure.pressed && is_overloaded) || state.admitted < 1.0 {
+                state.suspect_steps = SUSPECT_STEPS;
             }
-            gauge.shares = gauge.shares.saturating_sub(1);
-            gauge.served *= DECAY;
-            gauge.starved *= DECAY;
+            state.suspect_steps = state.suspect_steps.saturating_sub(1);
+            state.completed *= COUNT_DECAY;
+            state.overloaded *= COUNT_DECAY;
         }
-        self.settle = self.settle.saturating_sub(1);
-        let mut changed = self.adjust(Gauge::is_fitted, |gauge| {
-            let hidden = if gauge.shares > 0 { hidden } else { 0.0 };
-            gauge.fit(gauge.factor(&pressures, hidden));
+        self.cut_cooldown = self.cut_cooldown.saturating_sub(1);
+        let mut changed = self.update_routes(Route::is_scaled, |state| {
+            let hidden_demand =
+                if state.suspect_steps > 0 { hidden_demand } else { 0.0 };
+            state.scale(state.scale_factor(&pressures, hidden_demand));
         });
-        changed.extend(self.cut(pressure.urgent));
-        changed.extend(self.restore(pressure.urgent));
-        self.routes.values_mut().for_each(Gauge::remember);
+        changed.extend(self.cut_urgent(pressure.urgent));
+        changed.extend(self.raise_urgent(pressure.urgent));
+        self.routes.values_mut().for_each(Route::record_admitted);
         changed
     }
 
-    /// Lets more of the urgent routes in again.
-    fn restore(&mut self, urgent: f64) -> Vec<(String, f64)> {
-        let room = RAISE_AT - urgent;
-        let cut = |gauge: &Gauge| gauge.is_urgent() && gauge.open < 1.0;
-        match room > 0.0 {
-            true => self.adjust(cut, |g| g.open = raised(g.open, room)),
+    /// Raises the admitted fraction of urgent routes that were cut.
+    fn raise_urgent(&mut self, urgent_demand: f64) -> Vec<(String, f64)> {
+        let headroom = URGENT_RAISE_DEMAND - urgent_demand;
+        let is_cut = |state: &Route| state.is_urgent() && state.admitted < 1.0;
+        match headroom > 0.0 {
+            true => self.update_routes(is_cut, |state| {
+                state.admitted = raised(state.admitted, headroom)
+            }),
             false => Vec::new(),
         }
     }
 
-    /// The demand that failures hide: a request that fails half-way makes no
-    /// more calls, so that a service which fails all of them is asked for
-    /// little.
-    fn hidden(&self, pressure: Pressure) -> f64 {
-        let shares = self.routes.values().filter(|gauge| gauge.shares > 0);
-        let failing = shares.map(Gauge::failing).fold(0.0, f64::max);
-        let full = pressure.pressed && pressure.demand > FULL_AT;
-        match full && failing > HIDES_AT {
-            true => CUT_AT + failing * HIDDEN,
+    /// Returns the demand that failures hide: a request that fails early makes
+    /// no further calls, so a service that fails most of them sees little
+    /// demand.
+    fn hidden_demand(&self, pressure: Pressure) -> f64 {
+        let suspects =
+            self.routes.values().filter(|state| state.suspect_steps > 0);
+        let overload_rate =
+            suspects.map(Route::overload_rate).fold(0.0, f64::max);
+        let full = pressure.pressed && pressure.demand > FULL_DEMAND;
+        match full && overload_rate > HIDING_OVERLOAD_RATE {
+            true => URGENT_CUT_DEMAND + overload_rate * HIDDEN_DEMAND_FACTOR,
             false => 0.0,
         }
     }
 
-    /// Lets less of the urgent routes in, once nothing is left to cut below
-    /// them.
-    fn cut(&mut self, urgent: f64) -> Vec<(String, f64)> {
-        if self.settle > 0 || urgent <= CUT_AT {
+    /// Cuts the least urgent of the urgent routes, once no other route can be
+    /// cut further.
+    fn cut_urgent(&mut self, urgent_demand: f64) -> Vec<(String, f64)> {
+        if self.cut_cooldown > 0 || urgent_demand <= URGENT_CUT_DEMAND {
             return Vec::new();
         }
-        let able = self.routes.values().filter(|g| g.can_be_cut());
-        let rank = able.map(|gauge| gauge.priority).max();
-        let Some(rank) = rank.filter(|rank| *rank <= URGENT) else {
+        let candidates =
+            self.routes.values().filter(|state| state.can_be_cut());
+        let priority = candidates.map(|state| state.priority).max();
+        let Some(priority) =
+            priority.filter(|priority| *priority <= MAX_URGENT_PRIORITY)
+        else {
             return Vec::new();
         };
-        self.settle = SETTLE;
-        let part = (AIM / urgent).clamp(CUT.0, CUT.1);
-        self.adjust(
-            |gauge| gauge.priority == rank && gauge.can_be_cut(),
-            |gauge| gauge.open = (gauge.open * part).max(FLOOR),
+        self.cut_cooldown = CUT_COOLDOWN_STEPS;
+        let fraction = (TARGET_UTILIZATION / urgent_demand)
+            .clamp(CUT_FACTOR_RANGE.0, CUT_FACTOR_RANGE.1);
+        self.update_routes(
+            |state| state.priority == priority && state.can_be_cut(),
+            |state| {
+                state.admitted = (state.admitted * fraction).max(MIN_ADMITTED)
+            },
         )
     }
 
-    fn adjust(
+    fn update_routes(
         &mut self,
-        which: impl Fn(&Gauge) -> bool,
-        change: impl Fn(&mut Gauge),
+        is_selected: impl Fn(&Route) -> bool,
+        update: impl Fn(&mut Route),
     ) -> Vec<(String, f64)> {
         let mut changed = Vec::new();
-        for (name, gauge) in &mut self.routes {
-            if !which(gauge) {
+        for (name, state) in &mut self.routes {
+            if !is_selected(state) {
                 continue;
             }
-            let before = gauge.open;
-            change(gauge);
-            if gauge.open != before {
-                changed.push((name.clone(), gauge.open));
+            let before = state.admitted;
+            update(state);
+            if state.admitted != before {
+                changed.push((name.clone(), state.admitted));
             }
         }
         changed
--- a/crates/walnutmoor-core/src/throttle/completion.rs
+++ b/crates/walnutmoor-core/src/throttle/completion.rs
@@ -1,16 +1,16 @@
 /*!
-Whether the repeats that are left would bring a request to its end.
+Predicts whether the remaining retry budget lets a request complete.
 
-The load pattern: all instances of a service deep in the graph turn away part
-of what they get, for longer than the allowance of repeats lasts. A request
-that makes many calls there ends only if each that is turned away can be
-repeated. Those that get no repeats run and fail, and one that may run only
-once can't be tried again by its caller, who does not know how far it got.
-Refused at the way in, it has not run, and its caller comes back.
+Guards against requests that are admitted, run part of the way and fail: when
+all instances of a service shed load for longer than the retry budget lasts, a
+request that makes many calls there completes only if each call that is shed
+can be retried. A caller can't safely retry a request that must not run twice
+once it may have started. If it is rejected at the ingress instead, it has not
+run and may be sent again.
 
-Instances give repeats to whole requests by their lots, and tell with each
-answer how much they have left. The same lot is looked at here, so that what is
-let in is what they will carry to its end.
+Instances spend their retry budget on whole requests, ordered by lot, and
+report with each answer how much is left. Admission uses the same lot, so the
+requests that it admits are those that instances will retry.
 */
 
 use crate::{
@@ -19,73 +19,76 @@
     repeat::Asker,
 };
 
-/// The chance to end without any repeat from which a request is let in
-/// whatever its lot: more of those end than fail.
-const LIKELY: f64 = 0.5;
+/// Probability of completing without a retry from which a request is admitted
+/// whatever its lot.
+const LIKELY_COMPLETION: f64 = 0.5;
 
-/// The part of what is left that is dealt out at the way in. Instances differ
-/// in what they have left, and one request meets many of them. In the replay
-/// `shedding` with 26 instances, 3,015, 3,053 and 2,975 of some 11,100 claims
-/// are served in time with 0.6, 0.8 and 1.0, and 218, 534 and 917 fail.
-const DEALT: f64 = 0.8;
+/// Fraction of the remaining retry budget that admission uses. It leaves a
+/// margin because the budget differs between the instances that a request
+/// reaches.
+const USABLE_BUDGET_FRACTION: f64 = 0.8;
 
-/// The part of all requests that is let in at the least, so that the end of
-/// the trouble is seen.
-const FLOOR: f64 = 0.05;
+/// Minimum fraction of requests that is admitted, so that recovery is noticed.
+const MIN_ADMITTED: f64 = 0.05;
 
-/// How fast what is known of a service follows: half of it is forgotten after
-/// three answers, which is less than a second for a route in use.
-const STEP: f64 = 0.2;
+/// Smoothing factor for what answers report about a service.
+const SMOOTHING: f64 = 0.2;
 
-/// What is known of the services below, from all answers that passed here.
+/// Shedding and retry budgets of services, from all answers that passed
+/// through this node.
 #[derive(Debug, Default)]
-pub(super) struct Services(Map<Key, Known>);
+pub(super) struct Services(Map<Key, Status>);
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
+struct Status {
     shed: f64,
     spent: f64,
 }
 
 impl Services {
-    /// Learns from an answer.
-    pub(super) fn learn(&mut self, footprint: &Footprint) {
+    /// Records what an answer reports.
+    pub(super) fn observe(&mut self, footprint: &Footprint) {
         for key in footprint.keys() {
             let state = footprint.state(key);
             let known = self.0.entry(key).or_default();
-            known.shed += (state.shed() - known.shed) * STEP;
-            known.spent += (state.spent() - known.spent) * STEP;
+            known.shed += (state.shed() - known.shed) * SMOOTHING;
+            known.spent += (state.spent() - known.spent) * SMOOTHING;
         }
     }
 }
 
-/// How many runs a request of one route makes at each service below it.
+/// Mean number of runs that a request of one route causes at each service.
 #[derive(Debug, Default)]
-pub(super) struct Cover(Map<Key, f64>);
+pub(super) struct CallProfile(Map<Key, f64>);
 
-impl Cover {
-    /// Learns how many runs one request made at a service.
-    pub(super) fn learn(&mut self, key: Key, runs: u16, step: f64) {
+impl CallProfile {
+    /// Records how many runs one request caused at a service.
+    pub(super) fn observe(&mut self, key: Key, runs: u16, smoothing: f64) {
         let runs = f64::from(runs);
         let known = self.0.entry(key).or_insert(runs);
-        *known += (runs - *known) * step;
+        *known += (runs - *known) * smoothing;
     }
 
-    /// True if this request is likely to come to its end.
-    pub(super) fn is_enough(&self, services: &Services, asker: Asker) -> bool {
-        let spent = self.spent(services);
-        let left = (1.0 - spent) * DEALT;
-        spent == 0.0 || asker.needs() <= left || asker.is_among(FLOOR)
+    /// Returns true if this request is likely to complete.
+    pub(super) fn can_complete(
+        &self,
+        services: &Services,
+        asker: Asker,
+    ) -> bool {
+        let spent = self.budget_spent(services);
+        let left = (1.0 - spent) * USABLE_BUDGET_FRACTION;
+        spent == 0.0 || asker.needs() <= left || asker.is_among(MIN_ADMITTED)
     }
 
-    /// The part of the repeats that is spent where one is likely to be
-    /// needed.
-    pub(super) fn spent(&self, services: &Services) -> f64 {
-        let met = self.0.iter().filter_map(|(key, runs)| {
+    /// Returns the largest spent fraction of the retry budget among the
+    /// services where a retry is likely to be needed.
+    pub(super) fn budget_spent(&self, services: &Services) -> f64 {
+        let spent = self.0.iter().filter_map(|(key, runs)| {
             let known = services.0.get(key)?;
-            let likely = (1.0 - known.shed).powf(*runs) >= LIKELY;
-            (!likely).then_some(known.spent)
+            let is_likely =
+                (1.0 - known.shed).powf(*runs) >= LIKELY_COMPLETION;
+            (!is_likely).then_some(known.spent)
         });
-        met.fold(0.0, f64::max)
+        spent.fold(0.0, f64::max)
     }
 }
--- a/crates/walnutmoor-core/src/throttle/route.rs
+++ b/crates/walnutmoor-core/src/throttle/route.rs
@@ -1,10 +1,10 @@
 /*!
-What is known of one route, and how much of it is let in.
+Admission state of one route.
 */
 
 use std::collections::VecDeque;
 
-use super::completion::Cover;
+use super::completion::CallProfile;
 use crate::{
     balance::{Pressure, Pressures},
     bulkhead,
@@ -12,170 +12,180 @@
     footprint::{Footprint, Key},
 };
 
-/// What admission aims at: all that can be done. A lower aim refuses at the way
-/// in what fails further down otherwise.
-pub(super) const AIM: f64 = 1.0;
+/// Utilization that admission aims at. A lower value rejects requests at the
+/// ingress that would have completed.
+pub(super) const TARGET_UTILIZATION: f64 = 1.0;
 
-/// The least part of a service that the less urgent get: their reserve there.
-const KEPT: f64 = 0.15;
+/// Fraction of a service that is reserved for less urgent requests.
+const LESS_URGENT_RESERVE: f64 = 0.15;
 
-/// Steps over which what was let in is averaged to be compared with the
-/// demand that followed from it. A request makes its calls in the second after
-/// it was let in, and demand is counted over half a second. Without this a
-/// cut was repeated before its effect was seen, and what was let in went up
-/// and down between 0.1 and 0.6 on a day with a lasting burst.
-const PAST: usize = 5;
+/// Steps over which the admitted fraction is averaged before it is compared
+/// with the demand that it caused. Demand lags behind admission, and without
+/// the average cuts are repeated before they take effect, so the admitted
+/// fraction oscillates.
+const HISTORY_STEPS: usize = 5;
 
-/// The part of the way to what fits that is gone up in a step. Down it is
-/// gone at once: work that can't be finished harms what can.
-const UP: f64 = 0.3;
+/// Part of the distance to the target that an increase covers in one step.
+/// Decreases apply at once, because excess work harms the work that fits.
+const INCREASE_FRACTION: f64 = 0.3;
 
-/// Reserves that are taken off what the most urgent can have.
+/// Reserves that are subtracted from the capacity for urgent requests.
 const URGENT_RESERVES: usize = 2;
 
-/// Demand of the less urgent at the least, so that none divides by nothing.
-const LEAST: f64 = 0.01;
+/// Lower bound of the less urgent demand; avoids a division by zero.
+const MIN_LESS_URGENT_DEMAND: f64 = 0.01;
 
-/// How fast what a route takes is learned: half is forgotten after some 14
-/// answers.
-const LEARN: f64 = 0.05;
+/// Smoothing factor for the slot time and runs of a route.
+const SMOOTHING: f64 = 0.05;
 
-/// What counts as everything let in.
-const ALL: f64 = 0.995;
+/// Admitted fraction above which a route counts as fully admitted.
+const FULLY_ADMITTED: f64 = 0.995;
 
-/// The least count that says anything.
-const COUNT_MIN: f64 = 4.0;
+/// Requests below which no overload rate is computed.
+const MIN_REQUESTS: f64 = 4.0;
 
-/// The part that is let in at the least, so that no class starves and the
-/// way back is found.
-pub(super) const FLOOR: f64 = 0.08;
+/// Minimum admitted fraction, so that no class starves and recovery is
+/// noticed.
+pub(super) const MIN_ADMITTED: f64 = 0.08;
 
-/// The last priority of those that matter most.
-pub(super) const URGENT: u8 = 1;
+/// Largest priority number that counts as urgent.
+pub(super) const MAX_URGENT_PRIORITY: u8 = 1;
 
-/// One route at one way in.
+/// One route at one ingress.
 #[derive(Debug)]
-pub(super) struct Gauge {
+pub(super) struct Route {
     pub(super) priority: u8,
-    /// Requests that ended well of late, and those that lacked a call.
-    pub(super) served: f64,
-    pub(super) starved: f64,
-    /// The part that is let in.
-    pub(super) open: f64,
-    /// What was let in over the last steps, the newest at the back.
-    past: VecDeque<f64>,
-    /// Steps for which the route is still taken to share in the trouble.
-    pub(super) shares: u8,
-    /// Milliseconds of a slot that a request takes of services below the one
-    /// that it goes to, as far as any was answered.
-    pub(super) takes: Map<Key, f64>,
-    /// The same of the service that it goes to; there may be several in turn.
-    pub(super) own: Map<Key, f64>,
-    /// Whether the repeats that are left bring its requests to their end.
-    pub(super) cover: Cover,
+    /// Decaying counts of requests by outcome.
+    pub(super) completed: f64,
+    pub(super) overloaded: f64,
+    /// Fraction of requests that is admitted.
+    pub(super) admitted: f64,
+    /// Admitted fractions of the last steps, newest last.
+    history: VecDeque<f64>,
+    /// Steps for which the route is still assumed to lead to the overloaded
+    /// service.
+    pub(super) suspect_steps: u8,
+    /// Mean slot milliseconds that a request uses at each service that it
+    /// reaches through calls.
+    pub(super) slot_ms: Map<Key, f64>,
+    /// Mean slot milliseconds at the services that requests are sent to
+    /// directly.
+    pub(super) own_slot_ms: Map<Key, f64>,
+    /// Calls per request, to predict whether retries let it complete.
+    pub(super) profile: CallProfile,
 }
 
-impl Gauge {
-    pub(super) fn new(priority: u8) -> Gauge {
-        Gauge {
+impl Route {
+    pub(super) fn new(priority: u8) -> Route {
+        Route {
             priority,
-            served: 0.0,
-            starved: 0.0,
-            open: 1.0,
-            past: VecDeque::new(),
-            shares: 0,
-            takes: Map::default(),
-            own: Map::default(),
-            cover: Cover::default(),
+            completed: 0.0,
+            overloaded: 0.0,
+            admitted: 1.0,
+            history: VecDeque::new(),
+            suspect_steps: 0,
+            slot_ms: Map::default(),
+            own_slot_ms: Map::default(),
+            profile: CallProfile::default(),
         }
     }
 
-    pub(super) fn failing(&self) -> f64 {
-        let count = self.served + self.starved;
-        match count < COUNT_MIN {
+    pub(super) fn overload_rate(&self) -> f64 {
+        let total = self.completed + self.overloaded;
+        match total < MIN_REQUESTS {
             true => 0.0,
-            false => self.starved / count,
+            false => self.overloaded / total,
         }
     }
 
     pub(super) fn is_urgent(&self) -> bool {
-        self.priority <= URGENT
+        self.priority <= MAX_URGENT_PRIORITY
     }
 
-    /// What was let in when the demand of now began.
-    pub(super) fn past(&self) -> f64 {
-        match self.past.is_empty() {
-            true => self.open,
-            false => self.past.iter().sum::<f64>() / self.past.len() as f64,
+    /// Returns the mean admitted fraction that led to the current demand.
+    pub(super) fn mean_admitted(&self) -> f64 {
+        match self.history.is_empty() {
+            true => self.admitted,
+            false => {
+                self.history.iter().sum::<f64>() / self.history.len() as f64
+            }
         }
     }
 
-    pub(super) fn remember(&mut self) {
-        if self.past.len() == PAST {
-            self.past.pop_front();
+    pub(super) fn record_admitted(&mut self) {
+        if self.history.len() == HISTORY_STEPS {
+            self.history.pop_front();
         }
-        self.past.push_back(self.open);
+        self.history.push_back(self.admitted);
     }
 
-    /// Goes towards letting in so many times what led to the demand of now.
-    pub(super) fn fit(&mut self, factor: f64) {
-        let aim = (self.past() * factor).clamp(FLOOR, 1.0);
-        match aim < self.open {
-            true => self.open = aim,
-            false => self.open += (aim - self.open) * UP,
+    /// Moves the admitted fraction towards `factor` times the one that led to
+    /// the current demand.
+    pub(super) fn scale(&mut self, factor: f64) {
+        let target = (self.mean_admitted() * factor).clamp(MIN_ADMITTED, 1.0);
+        match target < self.admitted {
+            true => self.admitted = target,
+            false => {
+                self.admitted += (target - self.admitted) * INCREASE_FRACTION
+            }
         }
-        if self.open > ALL {
-            self.open = 1.0;
+        if self.admitted > FULLY_ADMITTED {
+            self.admitted = 1.0;
         }
     }
 
-    pub(super) fn learn(&mut self, footprint: &Footprint, own: Key) {
+    pub(super) fn observe(&mut self, footprint: &Footprint, target: Key) {
         for key in footprint.keys() {
             let span = footprint.span(key).0 as f64;
-            let takes = match key == own {
-                true => &mut self.own,
+            let means = match key == target {
+                true => &mut self.own_slot_ms,
                 false => {
-                    self.cover.learn(key, footprint.runs(key), LEARN);
-                    &mut self.takes
+                    self.profile.observe(key, footprint.runs(key), SMOOTHING);
+                    &mut self.slot_ms
                 }
             };
-            let known = takes.entry(key).or_insert(span);
-            *known += (span - *known) * LEARN;
+            let mean = means.entry(key).or_insert(span);
+            *mean += (span - *mean) * SMOOTHING;
         }
     }
 
-    /// How many times what it lets in now fits: that of the service that is
-    /// shortest among those that it leads to, or of the worst one while it
-    /// is not known where it leads.
-    pub(super) fn factor(&self, pressures: &Pressures, hidden: f64) -> f64 {
-        let of = |p: &Pressure| factor(p, p.demand.max(hidden));
-        if self.takes.is_empty() {
+    /// Returns the factor by which the load that is admitted now would fit:
+    /// the smallest one among the services that this route reaches, or that of
+    /// the most loaded service if these are unknown.
+    pub(super) fn scale_factor(
+        &self,
+        pressures: &Pressures,
+        hidden: f64,
+    ) -> f64 {
+        let of = |p: &Pressure| scale_factor(p, p.demand.max(hidden));
+        if self.slot_ms.is_empty() {
             return of(&pressures.worst);
         }
-        let met = self.takes.keys();
-        let met = met.filter_map(|key| pressures.by_service.get(key));
-        met.map(of).fold(f64::INFINITY, f64::min)
+        let keys = self.slot_ms.keys();
+        let known = keys.filter_map(|key| pressures.by_service.get(key));
+        known.map(of).fold(f64::INFINITY, f64::min)
     }
 
-    /// True if the demand of the least urgent is to be fitted here.
-    pub(super) fn is_fitted(&self) -> bool {
-        let known = !self.takes.is_empty();
-        !self.is_urgent() && (known || self.shares > 0)
+    /// Returns true if the admitted fraction follows demand.
+    pub(super) fn is_scaled(&self) -> bool {
+        let is_known = !self.slot_ms.is_empty();
+        !self.is_urgent() && (is_known || self.suspect_steps > 0)
     }
 
     pub(super) fn can_be_cut(&self) -> bool {
-        self.shares > 0 && self.open > FLOOR
+        self.suspect_steps > 0 && self.admitted > MIN_ADMITTED
     }
 }
 
-/// How many times the demand of calls for the less urgent fits.
+/// Returns the factor by which the less urgent demand from calls would fit.
 ///
-/// What is asked for directly is counted up to its reserve. Otherwise the whole
-/// reserve would be kept free, where few ask directly as well.
-fn factor(pressure: &Pressure, demand: f64) -> f64 {
-    let all = demand * bulkhead::room(1);
+/// Direct demand reduces the capacity only up to its reserve, so that a
+/// reserve nobody uses does not stay idle.
+fn scale_factor(pressure: &Pressure, demand: f64) -> f64 {
+    let total = demand * bulkhead::room(1);
     let urgent = pressure.urgent * bulkhead::room(URGENT_RESERVES);
-    let room = 1.0 - pressure.direct.min(KEPT);
-    let supply = (AIM * room - urgent).max(KEPT);
-    supply / (all - urgent).max(LEAST)
+    let capacity = 1.0 - pressure.direct.min(LESS_URGENT_RESERVE);
+    let supply =
+        (TARGET_UTILIZATION * capacity - urgent).max(LESS_URGENT_RESERVE);
+    supply / (total - urgent).max(MIN_LESS_URGENT_DEMAND)
 }
--- a/crates/walnutmoor-core/tests/account.rs
+++ b/crates/walnutmoor-core/tests/account.rs
@@ -1,4 +1,4 @@
-//! Who a request is from, by its key.
+//! Authentication of requests by key.
 
 use walnutmoor_core::{
     account::{Account, Change, Digest, Directory, Error, Key, Quota, Sender},
@@ -24,16 +24,16 @@
     Sender::default()
 }
 
-/// The account that a request is from, or why it is refused.
-fn judge(key: Key<'_>, sender: Sender) -> Result<Option<String>, Kind> {
+/// Returns the account that a request is from, or why it is refused.
+fn authenticate(key: Key<'_>, sender: Sender) -> Result<Option<String>, Kind> {
     let directory = directory();
-    let account = directory.judge(key, sender)?;
+    let account = directory.authenticate(key, sender)?;
     Ok(account.map(|account| account.name.to_string()))
 }
 
 #[test]
-fn a_key_stands_for_its_account() {
-    let from = |key: &str| judge(Key::One(key.as_bytes()), sender());
+fn key_identifies_its_account() {
+    let from = |key: &str| authenticate(Key::One(key.as_bytes()), sender());
 
     assert_eq!(from("k-1"), Ok(Some("acme".into())));
     assert_eq!(from("k-2"), Ok(Some("acme".into())));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn no_other_key_gets_in() {
+fn unknown_keys_are_refused() {
     let long = "k".repeat(100_000);
     let odd: [&[u8]; 8] = [
         b"",
@@ -55,56 +55,62 @@
     ];
 
     for key in odd {
-        assert_eq!(judge(Key::One(key), sender()), Err(Kind::UnknownKey));
+        assert_eq!(
+            authenticate(Key::One(key), sender()),
+            Err(Kind::UnknownKey)
+        );
     }
-    assert_eq!(judge(Key::Missing, sender()), Err(Kind::UnknownKey));
-    assert_eq!(judge(Key::Several, sender()), Err(Kind::UnknownKey));
+    assert_eq!(authenticate(Key::Missing, sender()), Err(Kind::UnknownKey));
+    assert_eq!(authenticate(Key::Several, sender()), Err(Kind::UnknownKey));
 }
 
 #[test]
-fn without_accounts_everybody_may_call() {
+fn anybody_may_call_without_accounts() {
     let directory = Directory::default();
 
     for key in [Key::Missing, Key::One(b"any"), Key::Several] {
-        assert_eq!(directory.judge(key, sender()), Ok(None));
+        assert_eq!(directory.authenticate(key, sender()), Ok(None));
     }
 }
 
 #[test]
-fn a_public_route_needs_no_key_and_knows_a_good_one() {
+fn public_route_needs_no_key_and_accepts_a_valid_one() {
     let public = Sender { is_public: true, ..sender() };
 
-    assert_eq!(judge(Key::Missing, public), Ok(None));
-    assert_eq!(judge(Key::One(b"gone"), public), Ok(None));
-    assert_eq!(judge(Key::Several, public), Ok(None));
-    assert_eq!(judge(Key::One(b"k-1"), public), Ok(Some("acme".into())));
+    assert_eq!(authenticate(Key::Missing, public), Ok(None));
+    assert_eq!(authenticate(Key::One(b"gone"), public), Ok(None));
+    assert_eq!(authenticate(Key::Several, public), Ok(None));
+    assert_eq!(
+        authenticate(Key::One(b"k-1"), public),
+        Ok(Some("acme".into()))
+    );
 }
 
 #[test]
-fn only_a_run_that_is_under_way_here_makes_calls_without_a_key() {
-    let run = Sender { is_run: true, is_like_call: true, ..sender() };
-    let alike = Sender { is_like_call: true, ..sender() };
+fn only_local_runs_make_calls_without_a_key() {
+    let run = Sender { is_local_run: true, has_call_id: true, ..sender() };
+    let orphan = Sender { has_call_id: true, ..sender() };
 
-    assert_eq!(judge(Key::Missing, run), Ok(None));
-    // Nobody waits for it; but nobody is told to stay away for good.
-    assert_eq!(judge(Key::Missing, alike), Err(Kind::Orphaned));
+    assert_eq!(authenticate(Key::Missing, run), Ok(None));
+    // Temporary, because the key is not known to be invalid.
+    assert_eq!(authenticate(Key::Missing, orphan), Err(Kind::Orphaned));
     assert_eq!(Kind::Orphaned.status(), 503);
-    // Whoever bears a key is a caller, whatever its id looks like.
-    assert_eq!(judge(Key::One(b"k-1"), run), Ok(Some("acme".into())));
-    assert_eq!(judge(Key::One(b"no"), run), Err(Kind::UnknownKey));
-    assert_eq!(judge(Key::Several, run), Err(Kind::UnknownKey));
+    // A request with a key is from a caller, whatever its id looks like.
+    assert_eq!(authenticate(Key::One(b"k-1"), run), Ok(Some("acme".into())));
+    assert_eq!(authenticate(Key::One(b"no"), run), Err(Kind::UnknownKey));
+    assert_eq!(authenticate(Key::Several, run), Err(Kind::UnknownKey));
 }
 
 #[test]
-fn accounts_that_contradict_each_other_are_refused_whole() {
+fn conflicting_accounts_are_refused() {
     let shared = [entry("acme", &["k-1"]), entry("bolt", &["k-1"])];
     let error = Directory::build(shared).unwrap_err();
-    assert_eq!(error, Error::Shared(name("acme"), name("bolt")));
+    assert_eq!(error, Error::SharedKey(name("acme"), name("bolt")));
     assert!(!error.to_string().contains("k-1"));
 
     let twice = [entry("acme", &["k-1"]), entry("acme", &["k-2"])];
     let error = Directory::build(twice).unwrap_err();
-    assert_eq!(error, Error::Twice(name("acme")));
+    assert_eq!(error, Error::DuplicateAccount(name("acme")));
 
     let amounts =
         [(-1.0, 0.0), (1.0, -0.5), (f64::NAN, 0.0), (1.0, f64::INFINITY)];
@@ -112,7 +118,7 @@
         let mut account = Account::new(name("acme"));
         account.quota = Some(Quota { rate, burst });
         let error = Directory::build([(account, Vec::new())]).unwrap_err();
-        assert_eq!(error, Error::Amount(name("acme")));
+        assert_eq!(error, Error::InvalidQuota(name("acme")));
     }
 }
 
@@ -124,7 +130,7 @@
 }
 
 #[test]
-fn a_change_tells_whose_keys_changed_and_how_many() {
+fn changes_count_keys_by_account() {
     let next = Directory::build([
         entry("acme", &["k-2"]),
         entry("bolt", &["k-3", "k-4", "k-5"]),
@@ -144,7 +150,7 @@
 }
 
 #[test]
-fn neither_a_key_nor_its_digest_is_shown() {
+fn keys_and_digests_are_not_printed() {
     let digest = Digest::of(b"k-1");
 
     assert_eq!(format!("{digest:?}"), "Digest(..)");
@@ -155,7 +161,7 @@
 }
 
 #[test]
-fn a_digest_survives_its_text() {
+fn digest_round_trips_through_text() {
     let digest = Digest::of(b"k-1");
 
     assert_eq!(digest.to_string().parse::<Digest>().unwrap(), digest);
@@ -169,7 +175,7 @@
 }
 
 #[test]
-fn the_rank_of_an_account_goes_before_that_of_a_route() {
+fn account_priority_overrides_route_urgency() {
     let urgencies =
         |account: &Account| [0, 1, 2, 3].map(|r| account.urgency(r));
     let plain = Account::new(name("acme"));
@@ -179,7 +185,7 @@
     assert_eq!(urgencies(&plain), [0, 1, 2, 3]);
     assert_eq!(urgencies(&first), [0, 1, 1, 1]);
     assert_eq!(urgencies(&second), [1, 1, 2, 3]);
-    // Nothing of the first is behind anything of the second.
+    // No request of the first account ranks behind one of the second.
     let last = urgencies(&first).into_iter().max();
     assert!(last <= urgencies(&second).into_iter().min());
 }
--- a/crates/walnutmoor-core/tests/account_walk.rs
+++ b/crates/walnutmoor-core/tests/account_walk.rs
@@ -1,8 +1,8 @@
-//! A random walk over desired states with client accounts, beside an oracle
-//! that keeps plain sets: accounts come and go, keys are added, taken away and
-//! moved, and states that contradict themselves are refused whole.
+//! Random walk over desired states with client accounts, compared with a model
+//! that keeps plain sets. Accounts are added and removed, keys are added,
+//! removed and moved, and conflicting states must be refused.
 //!
-//! `WALNUTMOOR_FUZZ=N` makes the walk as many times longer.
+//! `WALNUTMOOR_FUZZ=N` multiplies the number of steps.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,7 +20,7 @@
 const ACCOUNTS: u64 = 6;
 const KEYS: u64 = 12;
 
-/// Accounts by number, with the numbers of their keys.
+/// Keys by account, both as numbers.
 type Model = BTreeMap<u64, BTreeSet<u64>>;
 
 fn name(account: u64) -> id::Account {
@@ -53,7 +53,7 @@
         self.rng.next_u64() % bound
     }
 
-    /// What the operator writes next: one change, or several at once.
+    /// Draws the next state, with one to three changes.
     fn draw(&mut self) -> Model {
         let mut next = self.model.clone();
         for _ in 0..1 + self.below(3) {
@@ -69,7 +69,8 @@
                 3 => next.values_mut().for_each(|keys| {
                     keys.remove(&key);
                 }),
-                // Somebody else's key moves with it, or stays with both.
+                // Moves the key. The next case leaves it with its former
+                // account as well.
                 4 => {
                     next.values_mut().for_each(|keys| {
                         keys.remove(&key);
@@ -95,7 +96,7 @@
     fn step(&mut self) {
         let next = self.draw();
         let built = self.build(&next);
-        assert_eq!(built.is_some(), !is_contradiction(&next), "{next:?}");
+        assert_eq!(built.is_some(), !is_conflict(&next), "{next:?}");
         if let Some(directory) = built {
             let changes = directory.changes_since(&self.directory);
             assert_eq!(changes, expected_changes(&self.model, &next));
@@ -106,17 +107,18 @@
 
     fn check(&mut self) {
         let number = self.below(KEYS + 1);
-        let is_run = self.below(2) == 0;
+        let is_local_run = self.below(2) == 0;
         let is_public = self.below(2) == 0;
-        let sender = Sender { is_run, is_public, is_like_call: false };
+        let sender = Sender { is_local_run, is_public, has_call_id: false };
         let text = key(number);
-        let one = self.directory.judge(Key::One(text.as_bytes()), sender);
+        let one =
+            self.directory.authenticate(Key::One(text.as_bytes()), sender);
         let one = one.map(|account| account.map(|a| a.name.clone()));
         assert_eq!(one, self.expected(number, is_public));
-        let missing = self.directory.judge(Key::Missing, sender);
-        let is_open = self.model.is_empty() || is_run || is_public;
+        let missing = self.directory.authenticate(Key::Missing, sender);
+        let is_open = self.model.is_empty() || is_local_run || is_public;
         assert_eq!(missing.is_ok(), is_open);
-        let several = self.directory.judge(Key::Several, sender);
+        let several = self.directory.authenticate(Key::Several, sender);
         assert_eq!(several.is_ok(), self.model.is_empty() || is_public);
     }
 
@@ -137,8 +139,8 @@
     }
 }
 
-/// True if a key stands for two accounts.
-fn is_contradiction(model: &Model) -> bool {
+/// Returns true if two accounts hold the same key.
+fn is_conflict(model: &Model) -> bool {
     let mut seen = BTreeSet::new();
     model.values().flatten().any(|key| !seen.insert(key))
 }
@@ -159,7 +161,7 @@
 }
 
 #[test]
-fn keys_stand_for_their_accounts_whatever_changes() {
+fn keys_identify_their_accounts_after_any_change() {
     let times = std::env::var("WALNUTMOOR_FUZZ").ok();
     let times: u64 = times.map_or(1, |text| text.parse().unwrap());
     let mut walk = Walk::new(30);
--- a/crates/walnutmoor-core/tests/fleet/mod.rs
+++ b/crates/walnutmoor-core/tests/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet of nodes that ask one another for quotas, replayed without IO:
-//! messages take time, nodes are cut off, end, begin again and stand still.
-//! An oracle sums what was let in over sliding windows.
+//! Discrete-event simulation of a fleet that enforces quotas, without IO.
+//! Messages take time, and nodes are partitioned, restarted and paused.
+//! Admitted requests are counted over sliding windows.
 
 use std::{
     cmp::Reverse,
@@ -12,86 +12,87 @@
     account::Quota,
     id::{Account, CallId, NodeId},
     quota::{
-        Allocator, Answer, Ask, Config, Fleet, Leases, Settled, Take, place,
+        Allocator, Config, Decision, Fleet, Leases, Request, Resolution,
+        Response, allocator_for,
     },
     time::Millis,
 };
 
-/// A message's way to another node.
-const WAY: Millis = Millis(2);
+/// One-way delay of a message.
+const MESSAGE_DELAY: Millis = Millis(2);
 
 /// How long a request waits for an allocator.
-const PATIENCE: Millis = Millis(150);
+const ALLOCATOR_TIMEOUT: Millis = Millis(150);
 
-/// The pause after an answer from a node that is not the allocator.
-const AGAIN: Millis = Millis(40);
+/// Pause after a response from a node that is not the allocator.
+const REDIRECT_BACKOFF: Millis = Millis(40);
 
-/// The pause between looks at the fleet.
-const LOOK: Millis = Millis(125);
+/// Interval at which a node refreshes its view of the fleet.
+const VIEW_INTERVAL: Millis = Millis(125);
 
-/// How long it takes to notice that a node is out of reach, or in it again.
-const NOTICE: Millis = Millis(300);
+/// Delay until a change of reachability is detected.
+const DETECTION_DELAY: Millis = Millis(300);
 
-/// How the quota is kept.
+/// How quotas are enforced.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Way {
-    /// Grants out of an allocator's bucket, asked for when a request comes.
+pub enum Strategy {
+    /// An allocator grants tokens when a request arrives.
     Granted,
-    /// Requests are let in at once and told to the allocator, which closes
-    /// an account that has used up its bucket.
+    /// Requests are admitted at once and reported to the allocator, which
+    /// closes an account whose bucket is empty.
     ToldAfter,
-    /// Each node has its even part and asks nobody.
+    /// Each node enforces its even share without messages.
     Even,
 }
 
-/// How often [`Way::ToldAfter`] tells what was used.
-const TELL: Millis = Millis(100);
+/// Interval of reports with [`Strategy::ToldAfter`].
+const REPORT_INTERVAL: Millis = Millis(100);
 
 enum Event {
     Arrive(usize),
-    Ask { from: usize, to: usize, account: Account, ask: Ask },
-    Answer { to: usize, account: Account, answer: Answer },
-    Patience { node: usize, life: u32, id: CallId },
-    Again { node: usize, account: Account },
-    Look(usize),
-    Tell(usize),
+    Request { from: usize, to: usize, account: Account, request: Request },
+    Response { to: usize, account: Account, response: Response },
+    Timeout { node: usize, incarnation: u32, id: CallId },
+    Retry { node: usize, account: Account },
+    Refresh(usize),
+    Report(usize),
 }
 
 struct Node {
-    life: u32,
+    incarnation: u32,
     allocator: Allocator,
     leases: Leases,
-    /// Requests that wait, and of which account.
+    /// Account and arrival time of waiting requests, by id.
     waiting: BTreeMap<u64, (Account, u64)>,
     members: Vec<NodeId>,
     fleet: Fleet,
-    /// It stands still until then, and what comes waits.
-    frozen: Millis,
-    /// Time that its steady clock does not count.
-    lost: Millis,
-    used: BTreeMap<Account, u32>,
-    closed: BTreeMap<Account, Millis>,
+    /// The node is paused until then, and events for it wait.
+    paused_until: Millis,
+    /// Time spent paused, which the node's monotonic clock does not count.
+    paused_time: Millis,
+    unreported: BTreeMap<Account, u32>,
+    closed_until: BTreeMap<Account, Millis>,
 }
 
-/// One account's callers.
+/// Callers of one account.
 pub struct Source {
     pub account: Account,
     pub quota: Quota,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
 }
 
-/// What became of an account's requests.
+/// Outcomes of the requests of an account.
 #[derive(Clone, Debug, Default)]
 pub struct Count {
     pub sent: u64,
     pub refused: u64,
-    /// When requests were let in, each with the moment at which it came.
-    pub let_in: Vec<(u64, u64)>,
+    /// Arrival and admission times of admitted requests, in milliseconds.
+    pub admitted: Vec<(u64, u64)>,
 }
 
-pub struct World {
-    pub way: Way,
+pub struct Simulation {
+    pub strategy: Strategy,
     pub now: Millis,
     pub sources: Vec<Source>,
     pub counts: BTreeMap<Account, Count>,
@@ -99,8 +100,8 @@
     config: Config,
     nodes: Vec<Node>,
     groups: Vec<usize>,
-    /// What was reached before, as views lag.
-    former: VecDeque<(Millis, Vec<usize>)>,
+    /// Former groups, because nodes detect changes late.
+    past_groups: VecDeque<(Millis, Vec<usize>)>,
     queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     events: Vec<Option<Event>>,
     rng: SmallRng,
@@ -121,23 +122,23 @@
     NodeId(([10, a, b, c], 80).into())
 }
 
-impl World {
+impl Simulation {
     pub fn new(
-        way: Way,
+        strategy: Strategy,
         nodes: usize,
         sources: Vec<Source>,
         seed: u64,
-    ) -> World {
+    ) -> Simulation {
         let config = Config::default();
-        let mut world = World {
-            way,
+        let mut simulation = Simulation {
+            strategy,
             now: Millis(0),
             counts: BTreeMap::new(),
             messages: 0,
             config,
             nodes: (0..nodes).map(|_| Node::new(config)).collect(),
             groups: vec![0; nodes],
-            former: VecDeque::new(),
+            past_groups: VecDeque::new(),
             queue: BinaryHeap::new(),
             events: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
@@ -145,15 +146,16 @@
             sources,
         };
         for node in 0..nodes {
-            let first = Millis(world.rng.random_range(0..LOOK.0));
-            world.push(first, Event::Look(node));
-            world.push(first, Event::Tell(node));
+            let first =
+                Millis(simulation.rng.random_range(0..VIEW_INTERVAL.0));
+            simulation.push(first, Event::Refresh(node));
+            simulation.push(first, Event::Report(node));
         }
-        for source in 0..world.sources.len() {
-            // Callers come once the nodes know each other.
-            world.push(Millis(3_000), Event::Arrive(source));
+        for source in 0..simulation.sources.len() {
+            // Callers start once the nodes know each other.
+            simulation.push(Millis(3_000), Event::Arrive(source));
         }
-        world
+        simulation
     }
 
     fn push(&mut self, at: Millis, event: Event) {
@@ -162,33 +164,33 @@
         self.queue.push(Reverse((at.0, serial as u64, serial)));
     }
 
-    /// Cuts the fleet: nodes of another group are out of reach.
-    pub fn cut(&mut self, group: impl Fn(usize) -> usize) {
+    /// Partitions the fleet. Nodes of different groups can't reach each other.
+    pub fn partition(&mut self, group: impl Fn(usize) -> usize) {
         let groups = (0..self.nodes.len()).map(group).collect();
         let former = std::mem::replace(&mut self.groups, groups);
-        self.former.push_back((self.now, former));
+        self.past_groups.push_back((self.now, former));
     }
 
     pub fn heal(&mut self) {
-        self.cut(|_| 0);
+        self.partition(|_| 0);
     }
 
-    /// A node ends and begins again, knowing nothing.
+    /// Restarts a node, which loses its state.
     pub fn restart(&mut self, node: usize) {
-        let life = self.nodes[node].life + 1;
-        self.nodes[node] = Node { life, ..Node::new(self.config) };
+        let incarnation = self.nodes[node].incarnation + 1;
+        self.nodes[node] = Node { incarnation, ..Node::new(self.config) };
     }
 
-    /// A node stands still.
-    pub fn freeze(&mut self, node: usize, span: Millis) {
-        self.nodes[node].frozen = self.now + span;
-        self.nodes[node].lost += span;
+    /// Pauses a node.
+    pub fn pause(&mut self, node: usize, span: Millis) {
+        self.nodes[node].paused_until = self.now + span;
+        self.nodes[node].paused_time += span;
     }
 
-    /// The node that deals an account's quota while all are reached.
+    /// Returns the allocator of an account if all nodes are reachable.
     pub fn allocator(&self, account: &Account) -> usize {
         let all = (0..self.nodes.len()).map(id);
-        let node = place(account, all).unwrap();
+        let node = allocator_for(account, all).unwrap();
         (0..self.nodes.len()).find(|n| id(*n) == node).unwrap()
     }
 
@@ -201,55 +203,55 @@
             self.queue.pop();
             self.now = at;
             if let Some(event) = self.events[serial].take() {
-                self.take(event);
+                self.dispatch(event);
             }
         }
         self.now = until;
     }
 
-    fn take(&mut self, event: Event) {
+    fn dispatch(&mut self, event: Event) {
         let node = match &event {
             Event::Arrive(source) => return self.arrive(*source),
-            Event::Ask { to, .. } | Event::Answer { to, .. } => *to,
-            Event::Patience { node, .. }
-            | Event::Again { node, .. }
-            | Event::Look(node)
-            | Event::Tell(node) => *node,
+            Event::Request { to, .. } | Event::Response { to, .. } => *to,
+            Event::Timeout { node, .. }
+            | Event::Retry { node, .. }
+            | Event::Refresh(node)
+            | Event::Report(node) => *node,
         };
-        if self.nodes[node].frozen > self.now {
-            let at = self.nodes[node].frozen;
+        if self.nodes[node].paused_until > self.now {
+            let at = self.nodes[node].paused_until;
             return self.push(at, event);
         }
         match event {
             Event::Arrive(_) => {}
-            Event::Ask { from, to, account, ask } => {
-                let answer = self.answer(to, &account, ask);
-                let event = Event::Answer { to: from, account, answer };
+            Event::Request { from, to, account, request } => {
+                let response = self.respond(to, &account, request);
+                let event = Event::Response { to: from, account, response };
                 self.send(to, from, event);
             }
-            Event::Answer { to, account, answer } => {
-                self.hear(to, &account, answer);
+            Event::Response { to, account, response } => {
+                self.handle_response(to, &account, response);
             }
-            Event::Patience { node, life, id } => {
-                self.lose_patience(node, life, id);
+            Event::Timeout { node, incarnation, id } => {
+                self.time_out(node, incarnation, id);
             }
-            Event::Again { node, account } => {
+            Event::Retry { node, account } => {
                 let now = self.clock(node);
-                let ask = self.nodes[node].leases.again(now, &account);
-                if let Some(ask) = ask {
-                    self.ask(node, &account, ask);
+                let request = self.nodes[node].leases.retry(now, &account);
+                if let Some(request) = request {
+                    self.send_request(node, &account, request);
                 }
             }
-            Event::Look(node) => {
-                self.look(node);
-                let next = self.now + LOOK;
-                self.push(next, Event::Look(node));
+            Event::Refresh(node) => {
+                self.refresh_view(node);
+                let next = self.now + VIEW_INTERVAL;
+                self.push(next, Event::Refresh(node));
             }
-            Event::Tell(node) => {
-                if self.way == Way::ToldAfter {
-                    self.tell(node);
-                    let next = self.now + TELL;
-                    self.push(next, Event::Tell(node));
+            Event::Report(node) => {
+                if self.strategy == Strategy::ToldAfter {
+                    self.report(node);
+                    let next = self.now + REPORT_INTERVAL;
+                    self.push(next, Event::Report(node));
                 }
             }
         }
@@ -258,47 +260,47 @@
     fn send(&mut self, from: usize, to: usize, event: Event) {
         self.messages += 1;
         if self.groups[from] == self.groups[to] {
-            let at = self.now + WAY;
+            let at = self.now + MESSAGE_DELAY;
             self.push(at, event);
         }
     }
 
-    /// A node's own clock.
+    /// Returns the time by a node's own clock.
     fn clock(&self, node: usize) -> Millis {
-        self.now - self.nodes[node].lost
+        self.now - self.nodes[node].paused_time
     }
 
-    fn look(&mut self, node: usize) {
-        while let Some((at, _)) = self.former.front() {
-            if *at + NOTICE > self.now {
+    fn refresh_view(&mut self, node: usize) {
+        while let Some((at, _)) = self.past_groups.front() {
+            if *at + DETECTION_DELAY > self.now {
                 break;
             }
-            self.former.pop_front();
+            self.past_groups.pop_front();
         }
-        let seen = self.former.front().map_or(&self.groups, |(_, g)| g);
-        let frozen = |other: usize| {
+        let seen = self.past_groups.front().map_or(&self.groups, |(_, g)| g);
+        let is_paused = |other: usize| {
             let other = &self.nodes[other];
-            other.frozen > self.now + NOTICE
+            other.paused_until > self.now + DETECTION_DELAY
         };
         let all = 0..self.nodes.len();
-        let reached = all.filter(|other| {
-            let out = seen[*other] != seen[node] || frozen(*other);
-            *other == node || !out
+        let reachable = all.filter(|other| {
+            let is_cut_off = seen[*other] != seen[node] || is_paused(*other);
+            *other == node || !is_cut_off
         });
-        let members: Vec<NodeId> = reached.map(id).collect();
+        let members: Vec<NodeId> = reachable.map(id).collect();
         let known = self.nodes.len();
-        let fleet = Fleet { reached: members.len(), known };
+        let fleet = Fleet { reachable: members.len(), known };
         let now = self.clock(node);
         let me = id(node);
         let Node { allocator, members: former, fleet: seen, .. } =
             &mut self.nodes[node];
         *seen = fleet;
-        allocator.see(now, fleet);
+        allocator.set_fleet(now, fleet);
         if *former != members {
-            let here = |name: &Account| {
-                place(name, members.iter().copied()) == Some(me)
+            let is_local = |name: &Account| {
+                allocator_for(name, members.iter().copied()) == Some(me)
             };
-            allocator.retain(here);
+            allocator.retain(is_local);
             *former = members;
         }
     }
@@ -310,109 +312,128 @@
         let next = self.now + Millis((gap * 1_000.0) as u64 + 1);
         self.push(next, Event::Arrive(at));
         let node = self.rng.random_range(0..self.nodes.len());
-        if self.nodes[node].frozen > self.now {
+        if self.nodes[node].paused_until > self.now {
             return;
         }
         self.counts.entry(name.clone()).or_default().sent += 1;
-        match self.way {
-            Way::Granted => self.ask_for(node, &name),
-            Way::Even => self.alone(node, &name, self.now.0),
-            Way::ToldAfter => self.let_in_first(node, &name),
+        match self.strategy {
+            Strategy::Granted => self.acquire(node, &name),
+            Strategy::Even => self.admit_locally(node, &name, self.now.0),
+            Strategy::ToldAfter => self.admit_and_report(node, &name),
         }
     }
 
-    fn ask_for(&mut self, node: usize, name: &Account) {
+    fn acquire(&mut self, node: usize, name: &Account) {
         self.last += 1;
         let id = CallId(self.last);
         let now = self.clock(node);
-        let came = self.now.0;
-        match self.nodes[node].leases.take(now, name, id) {
-            Take::Go => self.let_in(name, came),
-            Take::Refuse(_) => self.refuse(name),
-            Take::Alone => self.alone(node, name, came),
-            Take::Wait(ask) => {
+        let arrived = self.now.0;
+        match self.nodes[node].leases.acquire(now, name, id) {
+            Decision::Admit => self.admit(name, arrived),
+            Decision::Refuse(_) => self.refuse(name),
+            Decision::Local => self.admit_locally(node, name, arrived),
+            Decision::Wait(request) => {
                 let waiting = &mut self.nodes[node].waiting;
-                waiting.insert(id.0, (name.clone(), came));
-                let at = self.now + PATIENCE;
-                let life = self.nodes[node].life;
-                self.push(at, Event::Patience { node, life, id });
-                if let Some(ask) = ask {
-                    self.ask(node, name, ask);
+                waiting.insert(id.0, (name.clone(), arrived));
+                let at = self.now + ALLOCATOR_TIMEOUT;
+                let incarnation = self.nodes[node].incarnation;
+                self.push(at, Event::Timeout { node, incarnation, id });
+                if let Some(request) = request {
+                    self.send_request(node, name, request);
                 }
             }
         }
     }
 
-    fn ask(&mut self, node: usize, name: &Account, ask: Ask) {
+    fn send_request(&mut self, node: usize, name: &Account, request: Request) {
         let members = self.nodes[node].members.iter().copied();
-        let Some(allocator) = place(name, members) else {
+        let Some(allocator) = allocator_for(name, members) else {
             return self.give_up(node, name);
         };
         let to = index(allocator);
         if to == node {
-            let answer = self.answer(node, name, ask);
-            return self.hear(node, name, answer);
+            let response = self.respond(node, name, request);
+            return self.handle_response(node, name, response);
         }
         let account = name.clone();
-        self.send(node, to, Event::Ask { from: node, to, account, ask });
+        self.send(
+            node,
+            to,
+            Event::Request { from: node, to, account, request },
+        );
     }
 
-    fn answer(&mut self, node: usize, name: &Account, ask: Ask) -> Answer {
+    fn respond(
+        &mut self,
+        node: usize,
+        name: &Account,
+        request: Request,
+    ) -> Response {
         let now = self.clock(node);
         let source = self.sources.iter().find(|s| s.account == *name);
         let quota = source.unwrap().quota;
         let at = &mut self.nodes[node];
         let members = at.members.iter().copied();
-        if place(name, members) != Some(id(node)) {
+        if allocator_for(name, members) != Some(id(node)) {
             at.allocator.retain(|other| other != name);
-            return Answer::Elsewhere;
+            return Response::NotAllocator;
         }
-        Answer::Granted(at.allocator.ask(now, name, quota, ask))
+        Response::Granted(at.allocator.grant(now, name, quota, request))
     }
 
-    fn hear(&mut self, node: usize, name: &Account, answer: Answer) {
-        if self.way == Way::ToldAfter {
-            return self.hear_after(node, name, answer);
+    fn handle_response(
+        &mut self,
+        node: usize,
+        name: &Account,
+        response: Response,
+    ) {
+        if self.strategy == Strategy::ToldAfter {
+            return self.handle_report_response(node, name, response);
         }
         let now = self.clock(node);
-        let settled = self.nodes[node].leases.hear(now, name, answer);
-        let next = settled.ask;
-        if settled.elsewhere {
-            let (at, account) = (self.now + AGAIN, name.clone());
-            self.push(at, Event::Again { node, account });
+        let resolution =
+            self.nodes[node].leases.handle_response(now, name, response);
+        let next = resolution.request;
+        if resolution.not_allocator {
+            let (at, account) = (self.now + REDIRECT_BACKOFF, name.clone());
+            self.push(at, Event::Retry { node, account });
         }
-        self.settle(node, settled);
-        if let Some(ask) = next {
-            self.ask(node, name, ask);
+        self.apply(node, resolution);
+        if let Some(request) = next {
+            self.send_request(node, name, request);
         }
     }
 
-    fn settle(&mut self, node: usize, settled: Settled) {
-        let mut all = Vec::new();
-        for id in settled.go {
-            all.extend(self.leave(node, id).map(|at| (0, at)));
+    fn apply(&mut self, node: usize, resolution: Resolution) {
+        let mut decided = Vec::new();
+        for id in resolution.admitted {
+            decided.extend(self.take_waiting(node, id).map(|at| (0, at)));
         }
-        for (id, _) in settled.refused {
-            all.extend(self.leave(node, id).map(|at| (1, at)));
+        for (id, _) in resolution.refused {
+            decided.extend(self.take_waiting(node, id).map(|at| (1, at)));
         }
-        for id in settled.alone {
-            all.extend(self.leave(node, id).map(|at| (2, at)));
+        for id in resolution.local {
+            decided.extend(self.take_waiting(node, id).map(|at| (2, at)));
         }
-        for (what, (name, came)) in all {
-            match what {
-                0 => self.let_in(&name, came),
+        for (outcome, (name, arrived)) in decided {
+            match outcome {
+                0 => self.admit(&name, arrived),
                 1 => self.refuse(&name),
-                _ => self.alone(node, &name, came),
+                _ => self.admit_locally(node, &name, arrived),
             }
         }
     }
 
-    fn leave(&mut self, node: usize, id: CallId) -> Option<(Account, u64)> {
+    fn take_waiting(
+        &mut self,
+        node: usize,
+        id: CallId,
+    ) -> Option<(Account, u64)> {
         self.nodes[node].waiting.remove(&id.0)
     }
 
-    fn lose_patience(&mut self, node: usize, life: u32, id: CallId) {
-        if self.nodes[node].life != life {
+    fn time_out(&mut self, node: usize, incarnation: u32, id: CallId) {
+        if self.nodes[node].incarnation != incarnation {
             return;
         }
         let Some((name, _)) = self.nodes[node].waiting.get(&id.0).cloned()
@@ -424,11 +445,11 @@
 
     fn give_up(&mut self, node: usize, name: &Account) {
         let now = self.clock(node);
-        let settled = self.nodes[node].leases.give_up(now, name);
-        self.settle(node, settled);
+        let resolution = self.nodes[node].leases.give_up(now, name);
+        self.apply(node, resolution);
     }
 
-    fn alone(&mut self, node: usize, name: &Account, came: u64) {
+    fn admit_locally(&mut self, node: usize, name: &Account, arrived: u64) {
         let now = self.clock(node);
         let source = self.sources.iter().find(|s| s.account == *name);
         let quota = source.unwrap().quota;
@@ -436,64 +457,72 @@
         let at = &mut self.nodes[node];
         let fleet = at.fleet;
         let leases = &mut at.leases;
-        let goes = leases.alone(now, name, self.config, quota, fleet, draw);
-        match goes {
-            true => self.let_in(name, came),
+        let is_admitted =
+            leases.admit_locally(now, name, self.config, quota, fleet, draw);
+        match is_admitted {
+            true => self.admit(name, arrived),
             false => self.refuse(name),
         }
     }
 
-    fn let_in_first(&mut self, node: usize, name: &Account) {
+    fn admit_and_report(&mut self, node: usize, name: &Account) {
         let at = &mut self.nodes[node];
-        let closed = at.closed.get(name).copied();
-        if closed.is_some_and(|until| self.now < until) {
+        let closed_until = at.closed_until.get(name).copied();
+        if closed_until.is_some_and(|until| self.now < until) {
             return self.refuse(name);
         }
-        *at.used.entry(name.clone()).or_default() += 1;
-        self.let_in(name, self.now.0);
+        *at.unreported.entry(name.clone()).or_default() += 1;
+        self.admit(name, self.now.0);
     }
 
-    fn tell(&mut self, node: usize) {
-        let used = std::mem::take(&mut self.nodes[node].used);
-        for (name, spent) in used {
-            let ask = Ask { needed: 1, spent: spent - 1, ..Ask::default() };
-            self.ask(node, &name, ask);
+    fn report(&mut self, node: usize) {
+        let unreported = std::mem::take(&mut self.nodes[node].unreported);
+        for (name, spent) in unreported {
+            let request =
+                Request { needed: 1, spent: spent - 1, ..Request::default() };
+            self.send_request(node, &name, request);
         }
     }
 
-    fn hear_after(&mut self, node: usize, name: &Account, answer: Answer) {
-        if let Answer::Granted(grant) = answer
+    fn handle_report_response(
+        &mut self,
+        node: usize,
+        name: &Account,
+        response: Response,
+    ) {
+        if let Response::Granted(grant) = response
             && grant.count == 0
         {
             let until = self.now + grant.retry;
-            self.nodes[node].closed.insert(name.clone(), until);
+            self.nodes[node].closed_until.insert(name.clone(), until);
         }
     }
 
-    fn let_in(&mut self, name: &Account, came: u64) {
+    fn admit(&mut self, name: &Account, arrived: u64) {
         let count = self.counts.entry(name.clone()).or_default();
-        count.let_in.push((came, self.now.0));
+        count.admitted.push((arrived, self.now.0));
     }
 
     fn refuse(&mut self, name: &Account) {
         self.counts.entry(name.clone()).or_default().refused += 1;
     }
 
-    /// What a window may hold of a quota.
-    pub fn most(&self, quota: Quota) -> f64 {
+    /// Returns how many requests a window may hold under a quota.
+    pub fn window_limit(&self, quota: Quota) -> f64 {
         let Config { window, overage, slack } = self.config;
-        let whole = quota.rate * window.secs() + quota.burst;
-        whole * (1.0 + overage) + slack
+        let limit = quota.rate * window.secs() + quota.burst;
+        limit * (1.0 + overage) + slack
     }
 
-    /// The fullest window of an account that begins at a moment or later.
-    pub fn fullest(&self, name: &Account, from: Millis) -> usize {
+    /// Returns the maximum number of requests in a window that starts at
+    /// `from` or later.
+    pub fn max_in_window(&self, name: &Account, from: Millis) -> usize {
         let window = self.config.window.0;
         let count = self.counts.get(name);
-        let let_in = count.map_or(&[][..], |count| &count.let_in);
-        // Both ends of a request lie within the windows that count it; its
-        // beginning may be earlier by what it waited.
-        let mut times: Vec<u64> = let_in.iter().map(|(_, at)| *at).collect();
+        let admitted = count.map_or(&[][..], |count| &count.admitted);
+        // A request counts when it is admitted. It arrived earlier by the time
+        // that it waited.
+        let mut times: Vec<u64> = admitted.iter().map(|(_, at)| *at).collect();
         times.retain(|at| *at >= from.0);
         times.sort_unstable();
         let (mut most, mut first) = (0, 0);
@@ -506,8 +535,8 @@
         most
     }
 
-    /// The part of an account's requests that was refused.
-    pub fn refused(&self, name: &Account) -> f64 {
+    /// Returns the fraction of an account's requests that was refused.
+    pub fn refused_fraction(&self, name: &Account) -> f64 {
         let count = &self.counts[name];
         count.refused as f64 / count.sent as f64
     }
@@ -515,7 +544,7 @@
 
 fn index(node: NodeId) -> usize {
     let std::net::IpAddr::V4(ip) = node.0.ip() else {
-        unreachable!("nodes of the replay have such addresses")
+        unreachable!("simulated nodes have IPv4 addresses")
     };
     (u32::from(ip) & 0x00ff_ffff) as usize
 }
@@ -523,16 +552,16 @@
 impl Node {
     fn new(config: Config) -> Node {
         Node {
-            life: 0,
+            incarnation: 0,
             allocator: Allocator::new(config),
             leases: Leases::default(),
             waiting: BTreeMap::new(),
             members: Vec::new(),
             fleet: Fleet::default(),
-            frozen: Millis(0),
-            lost: Millis(0),
-            used: BTreeMap::new(),
-            closed: BTreeMap::new(),
+            paused_until: Millis(0),
+            paused_time: Millis(0),
+            unreported: BTreeMap::new(),
+            closed_until: BTreeMap::new(),
         }
     }
 }
--- a/crates/walnutmoor-core/tests/footprint.rs
+++ b/crates/walnutmoor-core/tests/footprint.rs
@@ -1,4 +1,4 @@
-//! What requests take of services.
+//! Footprints of requests.
 
 use walnutmoor_core::{
     footprint::{Footprint, Key, State},
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_footprints_of_calls_add_up() {
+fn footprints_of_calls_add_up() {
     let mut call = Footprint::default();
     call.add(key("parts"), Millis(15));
     let mut whole = Footprint::default();
@@ -19,24 +19,24 @@
     }
     whole.add(key("desk"), Millis(200));
 
-    assert_eq!(whole.span(key("parts")), Millis(60));
-    assert_eq!(whole.span(key("desk")), Millis(200));
-    assert_eq!(whole.span(key("other")), Millis(0));
+    assert_eq!(whole.slot_time(key("parts")), Millis(60));
+    assert_eq!(whole.slot_time(key("desk")), Millis(200));
+    assert_eq!(whole.slot_time(key("other")), Millis(0));
 }
 
 #[test]
-fn a_call_turned_away_deep_down_shows_at_the_top() {
+fn refused_call_is_visible_at_the_top() {
     let mut deep = Footprint::default();
-    deep.starve();
+    deep.mark_refused_call();
     let mut whole = Footprint::default();
 
     whole.merge(&deep);
 
-    assert!(whole.is_starved());
+    assert!(whole.has_refused_call());
 }
 
 #[test]
-fn services_beyond_the_bound_are_left_out() {
+fn services_beyond_the_limit_are_left_out() {
     let mut footprint = Footprint::default();
     for n in 0..100 {
         footprint.add(key(&format!("s{n}")), Millis(1));
@@ -46,12 +46,12 @@
 }
 
 #[test]
-fn what_instances_tell_of_themselves_is_averaged_over_their_runs() {
+fn reported_state_is_averaged_over_runs() {
     let mut call = Footprint::default();
-    call.add_at(key("parts"), Millis(15), State::new(0.6, 1.0));
-    call.add_at(key("parts"), Millis(15), State::new(0.4, 0.5));
+    call.add_with_state(key("parts"), Millis(15), State::new(0.6, 1.0));
+    call.add_with_state(key("parts"), Millis(15), State::new(0.4, 0.5));
     let mut whole = Footprint::default();
-    whole.add_at(key("parts"), Millis(15), State::default());
+    whole.add_with_state(key("parts"), Millis(15), State::default());
 
     whole.merge(&call);
 
--- a/crates/walnutmoor-core/tests/quota.rs
+++ b/crates/walnutmoor-core/tests/quota.rs
@@ -1,42 +1,45 @@
-//! Quotas over all nodes together, replayed under floods, cuts, ends,
-//! freezes and changes.
+//! Quotas across all nodes, simulated under floods, partitions, restarts,
+//! pauses and quota changes.
 
 mod fleet;
 
-use fleet::{Source, Way, World, account, source};
+use fleet::{Simulation, Source, Strategy, account, source};
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use walnutmoor_core::{
     account::Quota,
     id::CallId,
-    quota::{Allocator, Answer, Ask, Config, Fleet, Grant, Leases, Take},
+    quota::{
+        Allocator, Config, Decision, Fleet, Grant, Leases, Request, Response,
+    },
     time::Millis,
 };
 
-/// Nodes in most replays.
+/// Number of nodes in most simulations.
 const NODES: usize = 71;
 
-/// Seeds of drawn trouble; `WALNUTMOOR_FUZZ` multiplies them.
+/// Number of seeds for random faults, multiplied by `WALNUTMOOR_FUZZ`.
 const SEEDS: u64 = 60;
 
-/// Seeds under which a window once held too much: the bucket was so deep that
-/// two restarts of most nodes, or a cut behind a freeze, dealt it twice.
-const OVER: [u64; 3] = [200, 492, 769];
+/// Seeds that exceeded the limit with too deep a bucket: repeated restarts of
+/// most nodes, and a partition after a pause.
+const REGRESSION_SEEDS: [u64; 3] = [200, 492, 769];
 
-/// What accounts usually ask for, as a part of their quota.
-const USUAL: f64 = 1.0 / 1.6;
+/// Load of calm accounts, as a fraction of their quota.
+const CALM_LOAD: f64 = 1.0 / 1.6;
 
-/// The begin of callers' requests in a replay.
-const BEGIN: Millis = Millis(3_000);
+/// When callers start to send requests.
+const START: Millis = Millis(3_000);
 
-/// Accounts of all sizes that ask for their usual.
+/// Accounts with quotas of all sizes that stay below them.
 fn calm() -> Vec<Source> {
     let quotas = [2.0, 5.0, 10.0, 20.0, 40.0, 200.0];
-    let calm = |quota| source(&format!("calm-{quota}"), quota, quota * USUAL);
+    let calm =
+        |quota| source(&format!("calm-{quota}"), quota, quota * CALM_LOAD);
     quotas.map(calm).into()
 }
 
-/// The same, and some that ask for many times as much.
-fn with_floods() -> Vec<Source> {
+/// Calm accounts, and hot ones that send five times their quota.
+fn calm_and_hot() -> Vec<Source> {
     let mut all = calm();
     for quota in [3.0, 15.0, 60.0, 200.0] {
         all.push(source(&format!("hot-{quota}"), quota, quota * 5.0));
@@ -44,277 +47,300 @@
     all
 }
 
-fn assert_kept(world: &World) {
-    for Source { account, quota, .. } in &world.sources {
-        let most = world.most(*quota);
-        let fullest = world.fullest(account, Millis(0));
-        assert!(fullest as f64 <= most, "{account}: {fullest} of {most}");
+fn assert_within_limits(simulation: &Simulation) {
+    for Source { account, quota, .. } in &simulation.sources {
+        let limit = simulation.window_limit(*quota);
+        let count = simulation.max_in_window(account, Millis(0));
+        assert!(count as f64 <= limit, "{account}: {count} of {limit}");
     }
 }
 
 #[test]
-fn a_flood_is_cut_at_its_quota_and_nobody_below_it_is_refused() {
-    let mut world = World::new(Way::Granted, NODES, with_floods(), 1);
+fn flood_is_limited_to_its_quota_without_refusing_others() {
+    let mut simulation =
+        Simulation::new(Strategy::Granted, NODES, calm_and_hot(), 1);
 
-    world.run(Millis(33_000));
+    simulation.run(Millis(33_000));
 
-    assert_kept(&world);
-    for Source { account, quota, rate } in &world.sources {
-        let count = &world.counts[account];
+    assert_within_limits(&simulation);
+    for Source { account, quota, rate } in &simulation.sources {
+        let count = &simulation.counts[account];
         match account.as_str().starts_with("hot") {
-            // All of the quota is used, and its burst as well.
+            // The whole quota is used, including its burst.
             true => {
                 let whole = quota.rate * 30.0 * 1.2;
-                assert!(count.let_in.len() as f64 > whole * 0.95, "{account}");
+                assert!(
+                    count.admitted.len() as f64 > whole * 0.95,
+                    "{account}"
+                );
             }
             false => {
-                let part = world.refused(account);
-                assert!(part < 0.001, "{account} {rate}: {part}");
+                let fraction = simulation.refused_fraction(account);
+                assert!(fraction < 0.001, "{account} {rate}: {fraction}");
             }
         }
     }
 }
 
 #[test]
-fn two_halves_of_a_fleet_deal_one_quota_together() {
+fn two_halves_of_a_fleet_grant_one_quota_together() {
     for seed in 0..10 {
-        let mut world = World::new(Way::Granted, NODES, with_floods(), seed);
-        world.run(Millis(10_000));
-        world.cut(|node| node % 2);
-        world.run(Millis(22_000));
-        world.heal();
-        world.run(Millis(30_000));
-
-        assert_kept(&world);
+        let mut simulation =
+            Simulation::new(Strategy::Granted, NODES, calm_and_hot(), seed);
+        simulation.run(Millis(10_000));
+        simulation.partition(|node| node % 2);
+        simulation.run(Millis(22_000));
+        simulation.heal();
+        simulation.run(Millis(30_000));
+
+        assert_within_limits(&simulation);
         for Source { account, .. } in &calm() {
-            let part = world.refused(account);
-            assert!(part < 0.2, "seed {seed}: {account} {part}");
+            let fraction = simulation.refused_fraction(account);
+            assert!(fraction < 0.2, "seed {seed}: {account} {fraction}");
         }
     }
 }
 
 #[test]
-fn nodes_that_reach_nobody_keep_the_quota_together() {
+fn isolated_nodes_keep_the_quota_together() {
     for seed in 0..10 {
-        let mut world = World::new(Way::Granted, NODES, with_floods(), seed);
-        world.run(Millis(8_000));
-        world.cut(|node| node);
-        world.run(Millis(20_000));
-        world.heal();
-        world.run(Millis(28_000));
-
-        assert_kept(&world);
+        let mut simulation =
+            Simulation::new(Strategy::Granted, NODES, calm_and_hot(), seed);
+        simulation.run(Millis(8_000));
+        simulation.partition(|node| node);
+        simulation.run(Millis(20_000));
+        simulation.heal();
+        simulation.run(Millis(28_000));
+
+        assert_within_limits(&simulation);
     }
 }
 
 #[test]
-fn an_allocator_that_ends_at_the_peak_leaves_no_second_quota() {
+fn restarted_allocators_grant_no_second_quota() {
     for seed in 0..10 {
-        let mut world = World::new(Way::Granted, NODES, with_floods(), seed);
-        world.run(Millis(9_000));
+        let mut simulation =
+            Simulation::new(Strategy::Granted, NODES, calm_and_hot(), seed);
+        simulation.run(Millis(9_000));
         for _ in 0..6 {
-            for Source { account, .. } in with_floods() {
-                let node = world.allocator(&account);
-                world.restart(node);
+            for Source { account, .. } in calm_and_hot() {
+                let node = simulation.allocator(&account);
+                simulation.restart(node);
             }
-            let next = world.now + Millis(1_500);
-            world.run(next);
+            let next = simulation.now + Millis(1_500);
+            simulation.run(next);
         }
 
-        assert_kept(&world);
+        assert_within_limits(&simulation);
     }
 }
 
 #[test]
-fn all_nodes_that_end_at_once_begin_with_next_to_nothing() {
+fn restart_of_all_nodes_grants_no_second_quota() {
     for seed in 0..10 {
-        let mut world = World::new(Way::Granted, NODES, with_floods(), seed);
-        world.run(Millis(9_000));
-        (0..NODES).for_each(|node| world.restart(node));
-        world.run(Millis(18_000));
+        let mut simulation =
+            Simulation::new(Strategy::Granted, NODES, calm_and_hot(), seed);
+        simulation.run(Millis(9_000));
+        (0..NODES).for_each(|node| simulation.restart(node));
+        simulation.run(Millis(18_000));
 
-        assert_kept(&world);
+        assert_within_limits(&simulation);
     }
 }
 
 #[test]
-fn an_allocator_that_stood_still_deals_no_second_quota() {
+fn paused_allocator_grants_no_second_quota() {
     for seed in 0..10 {
-        let mut world = World::new(Way::Granted, NODES, with_floods(), seed);
-        world.run(Millis(9_000));
-        for Source { account, .. } in with_floods() {
-            let node = world.allocator(&account);
-            world.freeze(node, Millis(3_000));
+        let mut simulation =
+            Simulation::new(Strategy::Granted, NODES, calm_and_hot(), seed);
+        simulation.run(Millis(9_000));
+        for Source { account, .. } in calm_and_hot() {
+            let node = simulation.allocator(&account);
+            simulation.pause(node, Millis(3_000));
         }
-        world.run(Millis(20_000));
+        simulation.run(Millis(20_000));
 
-        assert_kept(&world);
+        assert_within_limits(&simulation);
     }
 }
 
 #[test]
-fn a_quota_that_is_lowered_holds_one_window_later() {
-    let mut world = World::new(Way::Granted, NODES, with_floods(), 3);
-    world.run(Millis(12_000));
-    for source in &mut world.sources {
+fn lowered_quota_holds_after_one_window() {
+    let mut simulation =
+        Simulation::new(Strategy::Granted, NODES, calm_and_hot(), 3);
+    simulation.run(Millis(12_000));
+    for source in &mut simulation.sources {
         source.quota.rate /= 4.0;
         source.quota.burst /= 4.0;
     }
-    world.run(Millis(25_000));
+    simulation.run(Millis(25_000));
 
-    for Source { account, quota, .. } in &world.sources {
-        let fullest = world.fullest(account, Millis(17_000));
-        assert!(fullest as f64 <= world.most(*quota), "{account}");
+    for Source { account, quota, .. } in &simulation.sources {
+        let count = simulation.max_in_window(account, Millis(17_000));
+        assert!(count as f64 <= simulation.window_limit(*quota), "{account}");
     }
 }
 
 #[test]
-fn a_quota_that_is_raised_is_served_at_once() {
+fn raised_quota_applies_at_once() {
     let sources = vec![source("hot", 20.0, 90.0)];
-    let mut world = World::new(Way::Granted, NODES, sources, 4);
-    world.run(Millis(12_000));
-    let before = world.counts[&account("hot")].clone();
-    world.sources[0].quota = Quota { rate: 200.0, burst: 200.0 };
-    world.run(Millis(13_000));
+    let mut simulation = Simulation::new(Strategy::Granted, NODES, sources, 4);
+    simulation.run(Millis(12_000));
+    let before = simulation.counts[&account("hot")].clone();
+    simulation.sources[0].quota = Quota { rate: 200.0, burst: 200.0 };
+    simulation.run(Millis(13_000));
 
-    let after = &world.counts[&account("hot")];
+    let after = &simulation.counts[&account("hot")];
     let sent = after.sent - before.sent;
     let refused = after.refused - before.refused;
-    // What was denied just before is not asked for again for a moment.
+    // After a denial, the allocator is not asked again for a moment.
     assert!(refused * 5 < sent, "{refused} of {sent}");
 }
 
-/// How many times as many seeds are to be drawn.
-fn fuzz() -> u64 {
+/// Returns the factor for the number of seeds.
+fn fuzz_factor() -> u64 {
     let times = std::env::var("WALNUTMOOR_FUZZ");
     times.ok().and_then(|times| times.parse().ok()).unwrap_or(1)
 }
 
 #[test]
-fn no_drawn_trouble_lets_a_window_hold_more() {
-    for seed in (0..SEEDS * fuzz()).chain(OVER) {
+fn random_faults_exceed_no_window() {
+    for seed in (0..SEEDS * fuzz_factor()).chain(REGRESSION_SEEDS) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let nodes = rng.random_range(3..90);
-        let mut world = World::new(Way::Granted, nodes, with_floods(), seed);
-        world.run(BEGIN);
-        while world.now < Millis(30_000) {
-            trouble(&mut world, &mut rng, nodes);
-            let next = world.now + Millis(rng.random_range(50..4_000));
-            world.run(next);
+        let mut simulation =
+            Simulation::new(Strategy::Granted, nodes, calm_and_hot(), seed);
+        simulation.run(START);
+        while simulation.now < Millis(30_000) {
+            inject_fault(&mut simulation, &mut rng, nodes);
+            let next = simulation.now + Millis(rng.random_range(50..4_000));
+            simulation.run(next);
         }
-        assert_kept(&world);
+        assert_within_limits(&simulation);
     }
 }
 
-fn trouble(world: &mut World, rng: &mut SmallRng, nodes: usize) {
-    let some = rng.random_range(0..nodes);
+fn inject_fault(
+    simulation: &mut Simulation,
+    rng: &mut SmallRng,
+    nodes: usize,
+) {
+    let node = rng.random_range(0..nodes);
     match rng.random_range(0..7) {
-        0 => world.cut(|node| usize::from(node < some)),
-        1 => world.cut(|node| if node < some { node } else { nodes }),
-        2 => (0..some).for_each(|node| world.restart(node)),
-        3 => world.freeze(some, Millis(rng.random_range(100..6_000))),
+        0 => simulation.partition(|other| usize::from(other < node)),
+        1 => simulation
+            .partition(|other| if other < node { other } else { nodes }),
+        2 => (0..node).for_each(|other| simulation.restart(other)),
+        3 => simulation.pause(node, Millis(rng.random_range(100..6_000))),
         4 => {
-            let at = rng.random_range(0..world.sources.len());
-            let node = world.allocator(&world.sources[at].account);
-            world.restart(node);
+            let at = rng.random_range(0..simulation.sources.len());
+            let node = simulation.allocator(&simulation.sources[at].account);
+            simulation.restart(node);
         }
-        _ => world.heal(),
+        _ => simulation.heal(),
     }
 }
 
-/// Messages that a node sends in a second.
-fn messages(way: Way, nodes: usize) -> f64 {
-    // Each node has as many callers in a small and in a large fleet.
-    let many = nodes / 20;
+/// Messages per second and node.
+fn messages(strategy: Strategy, nodes: usize) -> f64 {
+    // The load per node is the same in a small and in a large fleet.
+    let accounts = nodes / 20;
     let calm = |n| source(&format!("a-{n}"), 32.0, 20.0);
-    let mut world = World::new(way, nodes, (0..many).map(calm).collect(), 5);
-    world.run(Millis(13_000));
-    world.messages as f64 / 10.0 / nodes as f64
+    let mut simulation =
+        Simulation::new(strategy, nodes, (0..accounts).map(calm).collect(), 5);
+    simulation.run(Millis(13_000));
+    simulation.messages as f64 / 10.0 / nodes as f64
 }
 
 #[test]
-fn what_a_node_sends_does_not_grow_with_the_fleet() {
-    let small = messages(Way::Granted, 100);
-    let large = messages(Way::Granted, 1_000);
+fn messages_per_node_do_not_grow_with_the_fleet() {
+    let small = messages(Strategy::Granted, 100);
+    let large = messages(Strategy::Granted, 1_000);
 
     assert!(large < small * 1.1, "{small} {large}");
 }
 
-/// One node's grants, of which it used two of five.
-fn granted() -> Leases {
+/// Leases of a node that was granted five tokens and used two.
+fn leases_in_use() -> Leases {
     let mut leases = Leases::default();
     let account = account("acme");
-    let take = leases.take(BEGIN, &account, CallId(1));
-    assert!(matches!(take, Take::Wait(Some(Ask { needed: 1, .. }))));
+    let decision = leases.acquire(START, &account, CallId(1));
+    assert!(matches!(
+        decision,
+        Decision::Wait(Some(Request { needed: 1, .. }))
+    ));
     let grant = Grant { count: 5, lifetime: Millis(250), retry: Millis(0) };
-    let settled = leases.hear(BEGIN, &account, Answer::Granted(grant));
-    assert_eq!(settled.go, [CallId(1)]);
-    assert_eq!(leases.take(BEGIN, &account, CallId(2)), Take::Go);
+    let resolution =
+        leases.handle_response(START, &account, Response::Granted(grant));
+    assert_eq!(resolution.admitted, [CallId(1)]);
+    assert_eq!(leases.acquire(START, &account, CallId(2)), Decision::Admit);
     leases
 }
 
 #[test]
-fn a_grant_that_was_not_used_in_time_goes_back() {
-    let mut leases = granted();
+fn expired_tokens_are_returned() {
+    let mut leases = leases_in_use();
     let account = account("acme");
 
-    let in_time = leases.take(BEGIN + Millis(249), &account, CallId(3));
-    let late = leases.take(BEGIN + Millis(250), &account, CallId(4));
+    let in_time = leases.acquire(START + Millis(249), &account, CallId(3));
+    let late = leases.acquire(START + Millis(250), &account, CallId(4));
 
-    assert_eq!(in_time, Take::Go);
-    let Take::Wait(Some(ask)) = late else {
+    assert_eq!(in_time, Decision::Admit);
+    let Decision::Wait(Some(request)) = late else {
         panic!("{late:?}");
     };
-    assert_eq!((ask.needed, ask.returned), (1, 2));
+    assert_eq!((request.needed, request.returned), (1, 2));
 }
 
 #[test]
-fn what_did_not_run_goes_back_and_a_repeat_counts_again() {
-    let mut leases = granted();
+fn requests_that_did_not_run_return_tokens_and_retries_spend_them() {
+    let mut leases = leases_in_use();
     let account = account("acme");
-    let late = BEGIN + Millis(300);
+    let late = START + Millis(300);
 
-    leases.end(late, &account, 0);
-    leases.end(late, &account, 1);
-    leases.end(late, &account, 3);
-    let take = leases.take(late, &account, CallId(3));
+    leases.finish(late, &account, 0);
+    leases.finish(late, &account, 1);
+    leases.finish(late, &account, 3);
+    let decision = leases.acquire(late, &account, CallId(3));
 
-    let Take::Wait(Some(ask)) = take else {
-        panic!("{take:?}");
+    let Decision::Wait(Some(request)) = decision else {
+        panic!("{decision:?}");
     };
-    assert_eq!((ask.returned, ask.spent), (4, 2));
+    assert_eq!((request.returned, request.spent), (4, 2));
 }
 
 #[test]
-fn after_a_denial_a_flood_costs_no_messages_for_a_moment() {
+fn flood_sends_no_messages_shortly_after_a_denial() {
     let mut leases = Leases::default();
     let account = account("acme");
-    leases.take(BEGIN, &account, CallId(1));
+    leases.acquire(START, &account, CallId(1));
     let grant = Grant { count: 0, lifetime: Millis(250), retry: Millis(800) };
-    let settled = leases.hear(BEGIN, &account, Answer::Granted(grant));
-    assert_eq!(settled.refused, [(CallId(1), Millis(800))]);
+    let resolution =
+        leases.handle_response(START, &account, Response::Granted(grant));
+    assert_eq!(resolution.refused, [(CallId(1), Millis(800))]);
 
-    let soon = leases.take(BEGIN + Millis(99), &account, CallId(2));
-    let later = leases.take(BEGIN + Millis(100), &account, CallId(3));
+    let soon = leases.acquire(START + Millis(99), &account, CallId(2));
+    let later = leases.acquire(START + Millis(100), &account, CallId(3));
 
-    // Told the same moment as the first.
-    assert_eq!(soon, Take::Refuse(Millis(701)));
-    assert!(matches!(later, Take::Wait(Some(_))));
+    // The same point in time as for the first request.
+    assert_eq!(soon, Decision::Refuse(Millis(701)));
+    assert!(matches!(later, Decision::Wait(Some(_))));
 }
 
 #[test]
-fn those_turned_away_are_told_to_come_back_one_after_the_other() {
+fn denied_requests_get_successive_retry_delays() {
     let mut allocator = Allocator::new(Config::default());
-    allocator.see(Millis(0), Fleet { reached: 2, known: 2 });
+    allocator.set_fleet(Millis(0), Fleet { reachable: 2, known: 2 });
     let account = account("acme");
     let quota = Quota { rate: 10.0, burst: 10.0 };
-    let ask = |needed| Ask { needed, ..Ask::default() };
+    let request = |needed| Request { needed, ..Request::default() };
 
-    let first = allocator.ask(BEGIN, &account, quota, ask(100));
-    let next = allocator.ask(BEGIN, &account, quota, ask(10));
+    let first = allocator.grant(START, &account, quota, request(100));
+    let next = allocator.grant(START, &account, quota, request(10));
 
     assert!(first.count > 0);
-    // The burst of a window of five seconds adds a fifth to the rate.
+    // The burst, spread over a window of five seconds, adds a fifth to the
+    // rate.
     let each = 1_000.0 / 12.0;
     let room = f64::from(100 - first.count) * each;
     assert!((first.retry.0 as f64 - room).abs() <= 100.0, "{first:?}");
@@ -323,37 +349,38 @@
 }
 
 #[test]
-fn an_allocator_that_was_not_told_of_the_fleet_deals_nothing() {
+fn allocator_grants_nothing_before_the_fleet_is_known() {
     let mut allocator = Allocator::new(Config::default());
     let quota = Quota { rate: 10.0, burst: 10.0 };
-    let ask = Ask { needed: 1, ..Ask::default() };
+    let request = Request { needed: 1, ..Request::default() };
 
-    let grant = allocator.ask(BEGIN, &account("acme"), quota, ask);
+    let grant = allocator.grant(START, &account("acme"), quota, request);
 
     assert_eq!(grant.count, 0);
 }
 
-/// Accounts whose fullest window is too full, and the part that is refused of
-/// those that stay below their quota, while an allocator ends.
-fn compare(way: Way) -> (usize, f64) {
-    let mut world = World::new(way, NODES, with_floods(), 6);
-    world.run(Millis(9_000));
-    let node = world.allocator(&account("hot-200"));
-    world.restart(node);
-    world.run(Millis(20_000));
-    let over = world.sources.iter().filter(|source| {
-        let fullest = world.fullest(&source.account, Millis(0));
-        fullest as f64 > world.most(source.quota)
+/// Returns the number of accounts that exceed their limit while an allocator
+/// restarts, and the mean fraction refused of the calm ones.
+fn run_strategy(strategy: Strategy) -> (usize, f64) {
+    let mut simulation = Simulation::new(strategy, NODES, calm_and_hot(), 6);
+    simulation.run(Millis(9_000));
+    let node = simulation.allocator(&account("hot-200"));
+    simulation.restart(node);
+    simulation.run(Millis(20_000));
+    let over = simulation.sources.iter().filter(|source| {
+        let count = simulation.max_in_window(&source.account, Millis(0));
+        count as f64 > simulation.window_limit(source.quota)
     });
-    let refused = calm().into_iter().map(|s| world.refused(&s.account));
+    let refused =
+        calm().into_iter().map(|s| simulation.refused_fraction(&s.account));
     (over.count(), refused.sum::<f64>() / calm().len() as f64)
 }
 
 #[test]
-fn grants_beat_telling_afterwards_and_even_parts() {
-    let (over, refused) = compare(Way::Granted);
-    let (over_after, _) = compare(Way::ToldAfter);
-    let (_, refused_even) = compare(Way::Even);
+fn grants_beat_reporting_and_even_shares() {
+    let (over, refused) = run_strategy(Strategy::Granted);
+    let (over_after, _) = run_strategy(Strategy::ToldAfter);
+    let (_, refused_even) = run_strategy(Strategy::Even);
 
     assert_eq!(over, 0);
     assert!(over_after > 0, "{over_after}");
@@ -361,18 +388,17 @@
 }
 
 #[test]
-fn who_asks_for_a_little_more_than_the_rate_is_served_out_of_the_burst() {
-    // A sixth more than the rate, where a window of five seconds holds a
-    // fifth more.
+fn load_slightly_above_the_rate_is_served_from_the_burst() {
+    // The burst adds a fifth to the rate over a window of five seconds.
     let near = |quota| source(&format!("near-{quota}"), quota, quota * 1.16);
     let sources: Vec<Source> = [10.0, 40.0, 200.0].map(near).into();
-    let mut world = World::new(Way::Granted, NODES, sources, 7);
+    let mut simulation = Simulation::new(Strategy::Granted, NODES, sources, 7);
 
-    world.run(Millis(33_000));
+    simulation.run(Millis(33_000));
 
-    assert_kept(&world);
-    for Source { account, .. } in &world.sources {
-        let part = world.refused(account);
-        assert!(part < 0.05, "{account}: {part}");
+    assert_within_limits(&simulation);
+    for Source { account, .. } in &simulation.sources {
+        let fraction = simulation.refused_fraction(account);
+        assert!(fraction < 0.05, "{account}: {fraction}");
     }
 }
--- a/crates/walnutmoor-core/tests/shedding.rs
+++ b/crates/walnutmoor-core/tests/shedding.rs
@@ -1,74 +1,76 @@
-//! Every instance of one service turns away part of what it gets, replayed
-//! against the decisions of the core.
+//! Every instance of one service sheds load, simulated against the decisions
+//! of the core.
 
 mod simulation;
 
-use simulation::{Class, Deal, Loop, Plan, Tally};
+use simulation::{Class, RetryPolicy, Scenario, Simulation, Tally};
 use walnutmoor_core::digest::Map;
 
-/// Two thirds of what fits while nothing is turned away.
+/// Two thirds of the capacity without shedding.
 const RATE: u64 = 800;
 
-/// The part that is turned away.
-const SHEDS: f64 = 0.55;
+/// Fraction of requests that is shed.
+const SHED_FRACTION: f64 = 0.55;
 
-/// Repeats that the platform allows for each first arrival.
-const ALLOWED: f64 = 0.2;
+/// Retries allowed per first attempt.
+const MAX_RETRY_RATIO: f64 = 0.2;
 
-fn play(deal: Deal) -> (Map<Class, Tally>, f64) {
-    let plan = Plan {
+fn run(retry_policy: RetryPolicy) -> (Map<Class, Tally>, f64) {
+    let scenario = Scenario {
         rate: RATE,
         throttled: true,
-        inherited: true,
-        sheds: SHEDS,
-        deal,
-        ..Plan::default()
+        inherit_priority: true,
+        shed_fraction: SHED_FRACTION,
+        retry_policy,
+        ..Scenario::default()
     };
-    Loop::new(plan, 5).play_with_repeats()
+    Simulation::new(scenario, 5).run_with_retries()
 }
 
 #[test]
-fn repeats_dealt_by_request_serve_claims_that_are_lost_otherwise() {
-    let (first, _) = play(Deal::First);
-    let (lots, _) = play(Deal::Lots);
+fn retries_by_lot_serve_claims_that_fail_otherwise() {
+    let (first_come, _) = run(RetryPolicy::FirstCome);
+    let (by_lot, _) = run(RetryPolicy::ByLot);
 
-    let before = first[&Class::Claim];
-    let after = lots[&Class::Claim];
+    let before = first_come[&Class::Claim];
+    let after = by_lot[&Class::Claim];
     assert!(before.served() < 0.05, "{before:?}");
     assert!(after.served() > 0.25, "{after:?}");
 }
 
 #[test]
-fn repeats_stay_within_what_the_platform_allows() {
-    for deal in [Deal::First, Deal::Lots] {
-        let (_, share) = play(deal);
-        assert!(share < ALLOWED, "{deal:?} {share}");
+fn retries_stay_within_the_budget() {
+    for retry_policy in [RetryPolicy::FirstCome, RetryPolicy::ByLot] {
+        let (_, retry_ratio) = run(retry_policy);
+        assert!(
+            retry_ratio < MAX_RETRY_RATIO,
+            "{retry_policy:?} {retry_ratio}"
+        );
     }
 }
 
-/// Many instances of the service that sheds, each with the load of one of
-/// three.
-fn play_wide(covered: bool) -> (Map<Class, Tally>, f64) {
-    let plan = Plan {
+/// Runs with many instances, each of which has the same load as one of three.
+fn run_large(check_completion: bool) -> (Map<Class, Tally>, f64) {
+    let scenario = Scenario {
         rate: RATE * 26 / 3,
         throttled: true,
-        inherited: true,
-        sheds: SHEDS,
-        covered,
-        wide: true,
-        ..Plan::default()
+        inherit_priority: true,
+        shed_fraction: SHED_FRACTION,
+        check_completion,
+        large: true,
+        ..Scenario::default()
     };
-    Loop::new(plan, 5).play_with_repeats()
+    Simulation::new(scenario, 5).run_with_retries()
 }
 
 #[test]
-fn claims_that_repeats_do_not_carry_are_refused_before_they_run() {
-    let (without, _) = play_wide(false);
-    let (with, share) = play_wide(true);
+fn claims_that_retries_cannot_complete_are_rejected_before_they_run() {
+    let (without, _) = run_large(false);
+    let (with, retry_ratio) = run_large(true);
 
     let before = without[&Class::Claim];
     let after = with[&Class::Claim];
     assert!(after.failed * 3 < before.failed, "{after:?} {before:?}");
     assert!(after.in_time * 10 > before.in_time * 9, "{after:?} {before:?}");
-    assert!(share < ALLOWED, "{share}");
+    assert!(retry_ratio < MAX_RETRY_RATIO, "{retry_ratio}");
 }
--- a/crates/walnutmoor-core/tests/simulation/mod.rs
+++ b/crates/walnutmoor-core/tests/simulation/mod.rs
@@ -1,11 +1,11 @@
-//! A closed loop of callers, ways in and instances in memory, which replays a
-//! load against the decisions of the core in steps of a millisecond.
+//! Discrete-event simulation of callers, ingresses and instances, which drives
+//! the decisions of the core in steps of a millisecond.
 //!
-//! The graph is the smallest that shows the trouble: `desk` runs claims and
-//! lookups, which call `parts` several times in a row, and searches go to
-//! `parts` themselves. `parts` is short of slots.
+//! The graph is the smallest one that shows overload deep in a call graph:
+//! `desk` runs claims and lookups, which call `parts` several times in
+//! sequence, and searches go to `parts` directly. `parts` is short of slots.
 
-// Each file of tests uses a part of this.
+// Each test file uses only part of this module.
 #![allow(dead_code)]
 
 use std::{cmp::Reverse, collections::BinaryHeap, ops::Range};
@@ -22,18 +22,18 @@
     footprint::{Footprint, Key},
     id::{CallId, NodeId, Service},
     repeat::{Asker, Config, Lot, Repeats},
-    throttle::{Ended, Throttle},
+    throttle::{Outcome, Throttle},
     time::Millis,
 };
 
-/// A class of requests.
+/// Class of requests.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Class {
-    /// Urgent; eight calls.
+    /// Urgent, with eight calls.
     Claim,
-    /// Browsing; four calls.
+    /// Less urgent, with four calls.
     Lookup,
-    /// Browsing; no calls, but long.
+    /// Less urgent, without calls but with a long run.
     Search,
 }
 
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Of ten requests.
+    /// Returns how many of ten requests are of this class.
     fn share(self) -> u64 {
         match self {
             Class::Claim => 2,
@@ -77,121 +77,122 @@
     }
 }
 
-/// Who gets the repeats of an instance.
+/// How instances spend their retry budget.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Deal {
-    /// Whoever asks first.
-    First,
-    /// Whole requests, by their lots.
+pub enum RetryPolicy {
+    /// On the first requests that need a retry.
+    FirstCome,
+    /// On whole requests, ordered by lot.
     #[default]
-    Lots,
+    ByLot,
 }
 
-/// What is replayed.
+/// Parameters of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Plan {
-    /// Requests a second.
+pub struct Scenario {
+    /// Requests per second.
     pub rate: u64,
-    /// Whether ways in refuse.
+    /// Whether ingresses reject requests.
     pub throttled: bool,
-    /// Whether calls inherit the rank of their request.
-    pub inherited: bool,
-    /// The part that every instance of parts turns away, once it is warm.
-    pub sheds: f64,
-    /// Who gets repeats.
-    pub deal: Deal,
-    /// Whether ways in turn away claims that repeats would not carry.
-    pub covered: bool,
-    /// Whether the service has many instances.
-    pub wide: bool,
+    /// Whether calls inherit the priority of their request.
+    pub inherit_priority: bool,
+    /// Fraction of requests that every instance of `parts` sheds after the
+    /// warm-up.
+    pub shed_fraction: f64,
+    /// How retries are granted.
+    pub retry_policy: RetryPolicy,
+    /// Whether ingresses reject claims that retries cannot complete.
+    pub check_completion: bool,
+    /// Whether each service has many instances.
+    pub large: bool,
 }
 
-impl Plan {
-    /// Instances of each service, and ways in.
-    fn count(&self) -> usize {
-        if self.wide { MANY } else { COUNT }
+impl Scenario {
+    /// Returns the number of instances of each service and of ingresses.
+    fn instance_count(&self) -> usize {
+        if self.large { LARGE_INSTANCES } else { INSTANCES }
     }
 
-    /// When the requests arrive that are counted.
-    fn counted(&self) -> Range<Millis> {
-        match self.sheds > 0.0 {
-            true => SHEDS_FROM..SHEDS_FROM + SHEDS_FOR,
-            false => WARM..LAST,
+    /// Returns the arrival times of the requests that are counted.
+    fn counted_arrivals(&self) -> Range<Millis> {
+        match self.shed_fraction > 0.0 {
+            true => SHED_START..SHED_START + SHED_DURATION,
+            false => WARMUP..LAST_ARRIVAL,
         }
     }
 
     fn end(&self) -> Millis {
-        self.counted().end + (END - LAST)
+        self.counted_arrivals().end + (END - LAST_ARRIVAL)
     }
 }
 
-/// What became of the requests of a class.
+/// Outcomes of the requests of a class.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
-    pub asked: u32,
-    /// Answered within the target.
+    pub sent: u32,
+    /// Completed within the target.
     pub in_time: u32,
     pub late: u32,
-    /// Refused before anything was done for them.
+    /// Rejected before any work was done.
     pub refused: u32,
-    /// Failed after something was done.
+    /// Failed after some work was done.
     pub failed: u32,
 }
 
 impl Tally {
     pub fn served(&self) -> f64 {
-        f64::from(self.in_time) / f64::from(self.asked.max(1))
+        f64::from(self.in_time) / f64::from(self.sent.max(1))
     }
 }
 
-/// Instances of each service, and ways in.
-const COUNT: usize = 3;
-/// The same where there are many.
-const MANY: usize = 26;
+/// Number of instances of each service and of ingresses.
+const INSTANCES: usize = 3;
+/// The same for large scenarios.
+const LARGE_INSTANCES: usize = 26;
 const SLOTS: u32 = 48;
 /// Run times in milliseconds.
-const DESK_TIME: u64 = 40;
-const CALL_TIME: u64 = 15;
-const SEARCH_TIME: u64 = 240;
-/// Before this the loop is left to settle.
-const WARM: Millis = Millis(4_000);
-/// From here on instances turn work away, where a plan says so, and what
-/// arrives is counted. The window of repeats has seen calm times then.
-const SHEDS_FROM: Millis = Millis(12_000);
-/// Until here they do.
-const SHEDS_FOR: Millis = Millis(8_000);
-/// Requests that arrive from here on may not end before the end.
-const LAST: Millis = Millis(14_000);
+const DESK_RUN_MS: u64 = 40;
+const CALL_RUN_MS: u64 = 15;
+const SEARCH_RUN_MS: u64 = 240;
+/// Requests that arrive during the warm-up are not counted.
+const WARMUP: Millis = Millis(4_000);
+/// When instances start to shed load, and when counting starts in these
+/// scenarios. The retry window has seen normal load by then.
+const SHED_START: Millis = Millis(12_000);
+/// How long instances shed load.
+const SHED_DURATION: Millis = Millis(8_000);
+/// Requests that arrive later may not end before the simulation does.
+const LAST_ARRIVAL: Millis = Millis(14_000);
 const END: Millis = Millis(16_000);
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Event {
     Arrive,
     Step,
-    /// The desk has done its own part of a request.
+    /// The desk has finished its own part of a request.
     DeskDone(u64),
-    /// A call, or a search, has run at an instance of parts.
+    /// A call or a search has run at an instance of `parts`.
     PartsDone(u64, usize),
-    /// An instance of parts has turned one away.
+    /// An instance of `parts` has shed a call or a search.
     PartsShed(u64, usize),
-    /// A call, or a search, that was turned away is sent again.
+    /// A call or a search that was shed is sent again.
     Resend(u64, usize),
 }
 
 #[derive(Clone, Debug)]
 struct Request {
     class: Class,
-    way: usize,
-    since: Millis,
-    left: u32,
+    ingress: usize,
+    arrived: Millis,
+    calls_left: u32,
     course: Course,
     lot: Lot,
 }
 
 impl Request {
-    fn rank(&self, inherited: bool) -> u8 {
+    fn rank(&self, inherit_priority: bool) -> u8 {
         let inner = self.class != Class::Search;
-        match (inherited, inner) {
+        match (inherit_priority, inner) {
             (true, _) | (_, false) => urgency(self.class.priority(), inner),
             (false, true) => urgency(1, true),
         }
@@ -205,22 +206,22 @@
     }
 }
 
-/// Instances that one call may reach.
-const ATTEMPTS: u8 = 2;
+/// Maximum number of instances that one call may reach.
+const MAX_ATTEMPTS: u8 = 2;
 
-/// Requests under way, by number.
+/// Requests in progress, by id.
 type Requests = Map<u64, Request>;
 
-pub struct Loop {
-    plan: Plan,
+pub struct Simulation {
+    scenario: Scenario,
     now: Millis,
     events: BinaryHeap<Reverse<(Millis, u64, Event)>>,
     serial: u64,
     requests: Requests,
-    ways: Vec<(Balance, Throttle)>,
+    ingresses: Vec<(Balance, Throttle)>,
     parts: Vec<Bulkhead>,
     repeats: Vec<Repeats>,
-    /// First arrivals at parts, and repeats.
+    /// First attempts at `parts`, and retries.
     arrivals: (u32, u32),
     rng: ChaCha8Rng,
     tallies: Map<Class, Tally>,
@@ -230,17 +231,17 @@
     NodeId(([127, 0, 0, 1], 1 + index as u16).into())
 }
 
-/// The allowance that a node gives its instance: seven tenths of the
-/// platform's 0.2, and nearly all of it with the calls of repeated runs.
-fn repeats() -> Repeats {
+/// Retry budget of one instance, a part of the platform's 0.2 retries per
+/// first attempt.
+fn retry_budget() -> Repeats {
     Repeats::new(Config::new().leaf(0.14, 0.17).slack(4.0).earlier(0.9))
 }
 
-/// What a request of a class takes of parts.
+/// Returns what a request of a class uses of `parts`.
 fn footprint(class: Class) -> Footprint {
     let mut footprint = Footprint::default();
     for _ in 0..class.calls() {
-        footprint.add(Key::of(&service()), Millis(CALL_TIME));
+        footprint.add(Key::of(&service()), Millis(CALL_RUN_MS));
     }
     footprint
 }
@@ -249,17 +250,17 @@
     "parts".parse().unwrap()
 }
 
-impl Loop {
-    pub fn new(plan: Plan, seed: u64) -> Loop {
-        let count = plan.count();
-        let mut ways = Vec::new();
-        for way in 0..count {
+impl Simulation {
+    pub fn new(scenario: Scenario, seed: u64) -> Simulation {
+        let count = scenario.instance_count();
+        let mut ingresses = Vec::new();
+        for ingress in 0..count {
             let zone = |n| format!("z{n}").parse().unwrap();
-            let mut balance = Balance::new(zone(way));
-            for at in 0..count {
-                balance.join(node(at), &service(), &zone(at));
+            let mut balance = Balance::new(zone(ingress));
+            for instance in 0..count {
+                balance.join(node(instance), &service(), &zone(instance));
             }
-            ways.push((balance, Throttle::new()));
+            ingresses.push((balance, Throttle::new()));
         }
         let mut parts = Vec::new();
         for _ in 0..count {
@@ -267,36 +268,37 @@
             bulkhead.open(SLOTS);
             parts.push(bulkhead);
         }
-        let mut this = Loop {
-            plan,
+        let mut simulation = Simulation {
+            scenario,
             now: Millis(0),
             events: BinaryHeap::new(),
             serial: 0,
             requests: Map::default(),
-            ways,
+            ingresses,
             parts,
-            repeats: (0..count).map(|_| repeats()).collect(),
+            repeats: (0..count).map(|_| retry_budget()).collect(),
             arrivals: (0, 0),
             rng: ChaCha8Rng::seed_from_u64(seed),
             tallies: Map::default(),
         };
-        this.push(Millis(0), Event::Arrive);
-        this.push(Millis(0), Event::Step);
-        this
+        simulation.push(Millis(0), Event::Arrive);
+        simulation.push(Millis(0), Event::Step);
+        simulation
     }
 
-    /// Plays to the end and tells what became of each class.
-    pub fn play(self) -> Map<Class, Tally> {
-        self.play_with_repeats().0
+    /// Runs the simulation and returns the outcomes by class.
+    pub fn run(self) -> Map<Class, Tally> {
+        self.run_with_retries().0
     }
 
-    /// The same, and the share of repeats among the first arrivals.
-    pub fn play_with_repeats(mut self) -> (Map<Class, Tally>, f64) {
-        while let Some(Reverse((at, _, event))) = self.events.pop() {
-            if at >= self.plan.end() {
+    /// Runs the simulation and also returns the number of retries per first
+    /// attempt.
+    pub fn run_with_retries(mut self) -> (Map<Class, Tally>, f64) {
+        while let Some(Reverse((time, _, event))) = self.events.pop() {
+            if time >= self.scenario.end() {
                 break;
             }
-            self.now = at;
+            self.now = time;
             self.handle(event);
         }
         let (firsts, repeats) = self.arrivals;
@@ -305,8 +307,8 @@
 
     fn push(&mut self, after: Millis, event: Event) {
         self.serial += 1;
-        let at = self.now + after;
-        self.events.push(Reverse((at, self.serial, event)));
+        let time = self.now + after;
+        self.events.push(Reverse((time, self.serial, event)));
     }
 
     fn handle(&mut self, event: Event) {
@@ -314,22 +316,23 @@
             Event::Arrive => self.arrive(),
             Event::Step => self.step(),
             Event::DeskDone(id) => self.call(id),
-            Event::PartsDone(id, at) => self.parts_done(id, at),
-            Event::PartsShed(id, at) => self.parts_shed(id, at),
-            Event::Resend(id, at) => self.send(id, at),
+            Event::PartsDone(id, instance) => self.parts_done(id, instance),
+            Event::PartsShed(id, instance) => self.parts_shed(id, instance),
+            Event::Resend(id, instance) => self.send(id, instance),
         }
     }
 
-    fn tally(&mut self, since: Millis, class: Class) -> Option<&mut Tally> {
-        let counted = self.plan.counted().contains(&since);
+    fn tally(&mut self, arrived: Millis, class: Class) -> Option<&mut Tally> {
+        let counted = self.scenario.counted_arrivals().contains(&arrived);
         counted.then(|| self.tallies.entry(class).or_default())
     }
 
-    /// Several requests a millisecond, spread over the classes and ways in.
+    /// Adds the requests of one millisecond, spread over the classes and
+    /// ingresses.
     fn arrive(&mut self) {
         self.push(Millis(1), Event::Arrive);
-        let mut count = self.plan.rate / 1_000;
-        let rest = self.plan.rate % 1_000;
+        let mut count = self.scenario.rate / 1_000;
+        let rest = self.scenario.rate % 1_000;
         count += u64::from(self.rng.next_u64() % 1_000 < rest);
         for _ in 0..count {
             let mut draw = self.rng.next_u64() % 10;
@@ -346,35 +349,36 @@
     }
 
     fn admit(&mut self, class: Class) {
-        let count = self.plan.count();
-        let way = (self.rng.next_u64() % count as u64) as usize;
+        let count = self.scenario.instance_count();
+        let ingress = (self.rng.next_u64() % count as u64) as usize;
         let draw = self.draw();
-        let since = self.now;
-        if let Some(tally) = self.tally(since, class) {
-            tally.asked += 1;
+        let arrived = self.now;
+        if let Some(tally) = self.tally(arrived, class) {
+            tally.sent += 1;
         }
         self.serial += 1;
         let id = self.serial;
         let lot = Lot::of(&id.to_string());
-        let throttle = &self.ways[way].1;
-        let open = throttle.admits(class.name(), false, draw);
+        let throttle = &self.ingresses[ingress].1;
+        let is_admitted = throttle.admits(class.name(), false, draw);
         let asker = Asker { rank: class.priority(), lot };
-        let lost = self.plan.covered
+        let cannot_complete = self.scenario.check_completion
             && class == Class::Claim
-            && !throttle.carries(class.name(), asker);
-        if lost || self.plan.throttled && !open {
-            if let Some(tally) = self.tally(since, class) {
+            && !throttle.can_complete(class.name(), asker);
+        if cannot_complete || self.scenario.throttled && !is_admitted {
+            if let Some(tally) = self.tally(arrived, class) {
                 tally.refused += 1;
             }
             return;
         }
-        let left = class.calls().max(1);
-        let course = Course::new(ATTEMPTS, true);
-        let request = Request { class, way, since, left, course, lot };
+        let calls_left = class.calls().max(1);
+        let course = Course::new(MAX_ATTEMPTS, true);
+        let request =
+            Request { class, ingress, arrived, calls_left, course, lot };
         self.requests.insert(id, request);
         match class {
             Class::Search => self.call(id),
-            _ => self.push(Millis(DESK_TIME), Event::DeskDone(id)),
+            _ => self.push(Millis(DESK_RUN_MS), Event::DeskDone(id)),
         }
     }
 
@@ -382,7 +386,7 @@
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Chooses an instance for the next call of a request, or a search.
+    /// Chooses an instance for the next call of a request or for a search.
     fn call(&mut self, id: u64) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -390,29 +394,29 @@
         let name = service();
         let want = Want {
             service: &name,
-            priority: request.rank(self.plan.inherited),
+            priority: request.rank(self.scenario.inherit_priority),
             target: request.target(),
             again: true,
         };
-        let balance = &mut self.ways[request.way].0;
+        let balance = &mut self.ingresses[request.ingress].0;
         let scope = request.course.scope();
         let Choice::Send(to) = balance.choose_within(self.now, want, &scope)
         else {
             return self.end(id, false);
         };
         balance.sent(to);
-        let at = usize::from(to.0.port()) - 1;
+        let instance = usize::from(to.0.port()) - 1;
         match request.course.pause(to) {
-            Millis(0) => self.send(id, at),
-            pause => self.push(pause, Event::Resend(id, at)),
+            Millis(0) => self.send(id, instance),
+            pause => self.push(pause, Event::Resend(id, instance)),
         }
     }
 
-    fn send(&mut self, id: u64, at: usize) {
+    fn send(&mut self, id: u64, instance: usize) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let rank = request.rank(self.plan.inherited);
+        let rank = request.rank(self.scenario.inherit_priority);
         let moved = !request.course.tried().is_empty();
         let again = request.course.arrivals() > 0;
         let work = Work {
@@ -422,13 +426,13 @@
             deadline: self.now + Millis(700),
             moved,
         };
-        let asker = match self.plan.deal {
-            Deal::First => Asker::default(),
-            Deal::Lots => Asker { rank, lot: request.lot },
+        let asker = match self.scenario.retry_policy {
+            RetryPolicy::FirstCome => Asker::default(),
+            RetryPolicy::ByLot => Asker { rank, lot: request.lot },
         };
-        let repeats = &mut self.repeats[at];
+        let repeats = &mut self.repeats[instance];
         if again && !repeats.try_repeat_for(self.now, asker) {
-            return self.moved(id, at, Word::Denied);
+            return self.call_rejected(id, instance, Word::Denied);
         }
         if !moved {
             repeats.first(self.now);
@@ -437,119 +441,134 @@
             true => self.arrivals.1 += 1,
             false => self.arrivals.0 += u32::from(!moved),
         }
-        match self.parts[at].offer(self.now, work) {
-            Offer::Run => self.run(id, at),
+        match self.parts[instance].offer(self.now, work) {
+            Offer::Run => self.run_call(id, instance),
             Offer::Wait => {}
             Offer::Full { .. } | Offer::Closed => {
-                self.moved(id, at, Word::Refused);
+                self.call_rejected(id, instance, Word::Refused);
             }
         }
     }
 
-    fn run(&mut self, id: u64, at: usize) {
-        let sheds = self.plan.sheds > 0.0 && self.now >= SHEDS_FROM;
-        if sheds && self.draw() < self.plan.sheds {
-            return self.push(Millis(1), Event::PartsShed(id, at));
+    fn run_call(&mut self, id: u64, instance: usize) {
+        let is_shedding =
+            self.scenario.shed_fraction > 0.0 && self.now >= SHED_START;
+        if is_shedding && self.draw() < self.scenario.shed_fraction {
+            return self.push(Millis(1), Event::PartsShed(id, instance));
         }
-        let search = self
+        let is_search = self
             .requests
             .get(&id)
             .is_some_and(|request| request.class == Class::Search);
-        let time = if search { SEARCH_TIME } else { CALL_TIME };
-        self.push(Millis(time), Event::PartsDone(id, at));
+        let time = if is_search { SEARCH_RUN_MS } else { CALL_RUN_MS };
+        self.push(Millis(time), Event::PartsDone(id, instance));
     }
 
-    fn parts_shed(&mut self, id: u64, at: usize) {
-        self.repeats[at].arrived(true);
-        self.parts[at].finish(self.now, CallId(id), false);
-        self.drive(at);
-        self.moved(id, at, Word::TurnedAway);
+    fn parts_shed(&mut self, id: u64, instance: usize) {
+        self.repeats[instance].arrived(true);
+        self.parts[instance].finish(self.now, CallId(id), false);
+        self.start_waiting(instance);
+        self.call_rejected(id, instance, Word::TurnedAway);
     }
 
-    /// A call was turned away, by an instance or before it.
-    fn moved(&mut self, id: u64, at: usize, word: Word) {
+    /// Handles a call that was rejected, by an instance or before it reached
+    /// one.
+    fn call_rejected(&mut self, id: u64, instance: usize, word: Word) {
         let reached = word == Word::TurnedAway;
-        self.hear(id, at, reached.then_some(true));
+        self.report_load(id, instance, reached.then_some(true));
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        match request.course.take(node(at), word) {
+        match request.course.take(node(instance), word) {
             Step::Go => self.call(id),
             Step::Stop => self.end(id, false),
         }
     }
 
-    /// The way in hears, with an answer, what an instance turns away.
-    fn tell(&mut self, id: u64, at: usize) {
-        let state = self.repeats[at].state(self.now);
+    /// Reports to the ingress, with an answer, what an instance sheds.
+    fn report_state(&mut self, id: u64, instance: usize) {
+        let state = self.repeats[instance].state(self.now);
         let mut footprint = Footprint::default();
-        footprint.add_at(Key::of(&service()), Millis(CALL_TIME), state);
+        footprint.add_with_state(
+            Key::of(&service()),
+            Millis(CALL_RUN_MS),
+            state,
+        );
         if let Some(request) = self.requests.get(&id) {
-            self.ways[request.way].1.hear(&footprint);
+            self.ingresses[request.ingress].1.observe_services(&footprint);
         }
     }
 
-    /// The way in hears the load of an instance.
-    fn hear(&mut self, id: u64, at: usize, failed: Option<bool>) {
-        let load = self.parts[at].load(self.now);
+    /// Reports the load of an instance to the ingress.
+    fn report_load(&mut self, id: u64, instance: usize, failed: Option<bool>) {
+        let load = self.parts[instance].load(self.now);
         if let Some(request) = self.requests.get(&id) {
-            let balance = &mut self.ways[request.way].0;
-            balance.report(node(at), load);
-            balance.done(node(at), failed);
+            let balance = &mut self.ingresses[request.ingress].0;
+            balance.report(node(instance), load);
+            balance.done(node(instance), failed);
         }
     }
 
-    fn parts_done(&mut self, id: u64, at: usize) {
-        self.repeats[at].arrived(false);
-        self.parts[at].finish(self.now, CallId(id), true);
-        self.drive(at);
-        self.hear(id, at, Some(false));
-        self.tell(id, at);
+    fn parts_done(&mut self, id: u64, instance: usize) {
+        self.repeats[instance].arrived(false);
+        self.parts[instance].finish(self.now, CallId(id), true);
+        self.start_waiting(instance);
+        self.report_load(id, instance, Some(false));
+        self.report_state(id, instance);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.left -= 1;
-        request.course = Course::new(ATTEMPTS, true);
-        match request.left {
+        request.calls_left -= 1;
+        request.course = Course::new(MAX_ATTEMPTS, true);
+        match request.calls_left {
             0 => self.end(id, true),
             _ => self.call(id),
         }
     }
 
-    fn drive(&mut self, at: usize) {
-        while let Some(next) = self.parts[at].next(self.now) {
+    fn start_waiting(&mut self, instance: usize) {
+        while let Some(next) = self.parts[instance].next(self.now) {
             match next {
-                Next::Run(id) => self.run(id.0, at),
+                Next::Run(id) => self.run_call(id.0, instance),
                 Next::Full(id, _) | Next::Closed(id) => {
-                    self.moved(id.0, at, Word::Refused);
+                    self.call_rejected(id.0, instance, Word::Refused);
                 }
             }
         }
     }
 
-    fn end(&mut self, id: u64, good: bool) {
+    fn end(&mut self, id: u64, succeeded: bool) {
         let Some(request) = self.requests.remove(&id) else {
             return;
         };
-        let Request { class, since, way, .. } = request;
-        // A search that was turned away has not run; only what ran and
-        // failed tells of a service that is short.
+        let Request { class, arrived, ingress, .. } = request;
+        // A search that was rejected has not run. Only requests that ran and
+        // failed indicate an overloaded service.
         if class != Class::Search {
-            let ended = if good { Ended::Served } else { Ended::Starved };
-            let throttle = &mut self.ways[way].1;
-            throttle.ended(class.name(), class.priority(), ended);
-            if good && self.plan.covered {
+            let outcome = if succeeded {
+                Outcome::Completed
+            } else {
+                Outcome::Overloaded
+            };
+            let throttle = &mut self.ingresses[ingress].1;
+            throttle.record_outcome(class.name(), class.priority(), outcome);
+            if succeeded && self.scenario.check_completion {
                 let own = Key::of(&"desk".parse().unwrap());
                 let footprint = footprint(class);
                 let priority = class.priority();
-                throttle.learn(class.name(), priority, &footprint, own);
+                throttle.observe_route(
+                    class.name(),
+                    priority,
+                    &footprint,
+                    own,
+                );
             }
         }
-        let in_time = self.now.since(since) <= class.target();
-        let Some(tally) = self.tally(since, class) else {
+        let in_time = self.now.since(arrived) <= class.target();
+        let Some(tally) = self.tally(arrived, class) else {
             return;
         };
-        match (good, in_time) {
+        match (succeeded, in_time) {
             (true, true) => tally.in_time += 1,
             (true, false) => tally.late += 1,
             (false, _) if class == Class::Search => tally.refused += 1,
@@ -557,23 +576,23 @@
         }
     }
 
-    /// What happens every 200 ms: loads are told, waits run out, ways in
-    /// adjust.
+    /// Periodic work: starts waiting calls, and every 200 ms reports loads and
+    /// adjusts admission.
     fn step(&mut self) {
         self.push(Millis(10), Event::Step);
-        for at in 0..self.plan.count() {
-            self.drive(at);
+        for instance in 0..self.scenario.instance_count() {
+            self.start_waiting(instance);
         }
         if !self.now.0.is_multiple_of(200) {
             return;
         }
-        for at in 0..self.plan.count() {
-            let load = self.parts[at].load(self.now);
-            for (balance, _) in &mut self.ways {
-                balance.report(node(at), load);
+        for instance in 0..self.scenario.instance_count() {
+            let load = self.parts[instance].load(self.now);
+            for (balance, _) in &mut self.ingresses {
+                balance.report(node(instance), load);
             }
         }
-        for (balance, throttle) in &mut self.ways {
+        for (balance, throttle) in &mut self.ingresses {
             throttle.step(balance.pressures());
         }
     }
