--- a/crates/walnutmoor-core/tests/throttle.rs
+++ b/crates/walnutmoor-core/tests/throttle.rs
@@ -1,63 +1,68 @@
-//! Admission at the way in.
+//! Admission control at the ingress.
 
 use walnutmoor_core::{
     balance::{Pressure, Pressures},
     footprint::{Footprint, Key, State},
     repeat::{Asker, Lot},
-    throttle::{Ended, Throttle},
+    throttle::{Outcome, Throttle},
     time::Millis,
 };
 
-/// Twice what can be done is asked for.
-const OVER: Pressure =
+/// Twice the capacity is demanded.
+const OVERLOADED: Pressure =
     Pressure { demand: 2.0, urgent: 2.0, direct: 0.15, pressed: true };
 
-/// Half of what can be done is asked for.
+/// Half of the capacity is demanded.
 const CALM: Pressure =
     Pressure { demand: 0.5, urgent: 0.5, direct: 0.15, pressed: false };
 
-fn ends(throttle: &mut Throttle, route: &str, priority: u8, failed: u32) {
+fn record_outcomes(
+    throttle: &mut Throttle,
+    route: &str,
+    priority: u8,
+    failed: u32,
+) {
     for n in 0..100 {
-        let ended = match n < failed {
-            true => Ended::Starved,
-            false => Ended::Served,
+        let outcome = match n < failed {
+            true => Outcome::Overloaded,
+            false => Outcome::Completed,
         };
-        throttle.ended(route, priority, ended);
+        throttle.record_outcome(route, priority, outcome);
     }
 }
 
-fn open(throttle: &Throttle, route: &str) -> f64 {
-    throttle.part(route)
+fn admitted(throttle: &Throttle, route: &str) -> f64 {
+    throttle.admitted_fraction(route)
 }
 
 #[test]
-fn the_least_urgent_that_fails_is_cut_first() {
+fn least_urgent_failing_route_is_cut_first() {
     let mut throttle = Throttle::new();
 
     for _ in 0..4 {
-        ends(&mut throttle, "claims", 0, 60);
-        ends(&mut throttle, "lookups", 2, 60);
-        ends(&mut throttle, "searches", 2, 0);
-        throttle.step(OVER);
+        record_outcomes(&mut throttle, "claims", 0, 60);
+        record_outcomes(&mut throttle, "lookups", 2, 60);
+        record_outcomes(&mut throttle, "searches", 2, 0);
+        throttle.step(OVERLOADED);
     }
 
-    assert!(open(&throttle, "lookups") < 0.7);
-    assert_eq!(open(&throttle, "claims"), 1.0);
-    assert_eq!(open(&throttle, "searches"), 1.0);
+    assert!(admitted(&throttle, "lookups") < 0.7);
+    assert_eq!(admitted(&throttle, "claims"), 1.0);
+    assert_eq!(admitted(&throttle, "searches"), 1.0);
 }
 
 #[test]
-fn the_more_urgent_is_cut_once_nothing_is_left_below() {
+fn urgent_route_is_cut_once_no_other_can_be() {
     let mut throttle = Throttle::new();
 
     for _ in 0..60 {
-        ends(&mut throttle, "claims", 0, 60);
-        ends(&mut throttle, "lookups", 2, 60);
-        throttle.step(OVER);
+        record_outcomes(&mut throttle, "claims", 0, 60);
+        record_outcomes(&mut throttle, "lookups", 2, 60);
+        throttle.step(OVERLOADED);
     }
 
-    assert!(open(&throttle, "claims") < 1.0);
-    assert!(open(&throttle, "lookups") > 0.0);
+    assert!(admitted(&throttle, "claims") < 1.0);
+    assert!(admitted(&throttle, "lookups") > 0.0);
 }
 
 #[test]
@@ -65,146 +70,152 @@
     let mut throttle = Throttle::new();
 
     for _ in 0..10 {
-        ends(&mut throttle, "lookups", 2, 60);
+        record_outcomes(&mut throttle, "lookups", 2, 60);
         throttle.step(CALM);
     }
 
-    assert_eq!(open(&throttle, "lookups"), 1.0);
+    assert_eq!(admitted(&throttle, "lookups"), 1.0);
 }
 
 #[test]
-fn what_was_cut_comes_back() {
+fn cut_route_recovers() {
     let mut throttle = Throttle::new();
     for _ in 0..6 {
-        ends(&mut throttle, "lookups", 2, 60);
-        throttle.step(OVER);
+        record_outcomes(&mut throttle, "lookups", 2, 60);
+        throttle.step(OVERLOADED);
     }
-    assert!(open(&throttle, "lookups") < 0.7);
+    assert!(admitted(&throttle, "lookups") < 0.7);
 
     for _ in 0..40 {
-        ends(&mut throttle, "lookups", 2, 0);
+        record_outcomes(&mut throttle, "lookups", 2, 0);
         throttle.step(CALM);
     }
 
-    assert_eq!(open(&throttle, "lookups"), 1.0);
+    assert_eq!(admitted(&throttle, "lookups"), 1.0);
 }
 
 #[test]
-fn who_comes_back_is_preferred() {
+fn rejected_requests_are_preferred_on_retry() {
     let mut throttle = Throttle::new();
     for _ in 0..12 {
-        ends(&mut throttle, "lookups", 2, 60);
-        throttle.step(OVER);
+        record_outcomes(&mut throttle, "lookups", 2, 60);
+        throttle.step(OVERLOADED);
     }
-    let part = open(&throttle, "lookups");
+    let fraction = admitted(&throttle, "lookups");
 
-    assert!(!throttle.admits("lookups", false, part + 0.01));
-    assert!(throttle.admits("lookups", true, part + 0.01));
+    assert!(!throttle.admits("lookups", false, fraction + 0.01));
+    assert!(throttle.admits("lookups", true, fraction + 0.01));
 }
 
 #[test]
-fn a_cut_goes_to_about_what_fits() {
+fn cut_converges_to_capacity() {
     let mut throttle = Throttle::new();
 
-    // All demand comes from one route, and there is half too much of it.
+    // All demand comes from one route and exceeds capacity by half.
     for _ in 0..60 {
-        let demand = 1.5 * open(&throttle, "lookups");
-        ends(&mut throttle, "lookups", 2, if demand > 1.0 { 40 } else { 0 });
+        let demand = 1.5 * admitted(&throttle, "lookups");
+        record_outcomes(
+            &mut throttle,
+            "lookups",
+            2,
+            if demand > 1.0 { 40 } else { 0 },
+        );
         let urgent = 0.0;
         let pressed = demand > 1.0;
         throttle.step(Pressure { demand, urgent, direct: 0.15, pressed });
     }
 
-    let part = open(&throttle, "lookups");
-    assert!((0.55..0.67).contains(&part), "{part}");
+    let fraction = admitted(&throttle, "lookups");
+    assert!((0.55..0.67).contains(&fraction), "{fraction}");
 }
 
-/// More is asked for than can be done, but not by the most urgent alone.
-const OVER_BELOW: Pressure =
+/// Total demand exceeds capacity, but urgent demand does not.
+const LESS_URGENT_OVERLOAD: Pressure =
     Pressure { demand: 1.5, urgent: 0.8, direct: 0.15, pressed: true };
 
 #[test]
-fn the_most_urgent_is_not_cut_for_the_demand_of_others() {
+fn urgent_route_is_not_cut_for_less_urgent_demand() {
     let mut throttle = Throttle::new();
 
     for _ in 0..60 {
-        ends(&mut throttle, "claims", 0, 60);
-        ends(&mut throttle, "lookups", 2, 60);
-        throttle.step(OVER_BELOW);
+        record_outcomes(&mut throttle, "claims", 0, 60);
+        record_outcomes(&mut throttle, "lookups", 2, 60);
+        throttle.step(LESS_URGENT_OVERLOAD);
     }
 
-    assert_eq!(open(&throttle, "claims"), 1.0);
-    assert!(open(&throttle, "lookups") < 0.1);
+    assert_eq!(admitted(&throttle, "claims"), 1.0);
+    assert!(admitted(&throttle, "lookups") < 0.1);
 }
 
 #[test]
-fn the_most_urgent_comes_back_while_others_are_still_cut() {
+fn urgent_route_recovers_while_others_are_cut() {
     let mut throttle = Throttle::new();
     for _ in 0..60 {
-        ends(&mut throttle, "claims", 0, 60);
-        ends(&mut throttle, "lookups", 2, 60);
-        throttle.step(OVER);
+        record_outcomes(&mut throttle, "claims", 0, 60);
+        record_outcomes(&mut throttle, "lookups", 2, 60);
+        throttle.step(OVERLOADED);
     }
-    assert!(open(&throttle, "claims") < 0.5);
+    assert!(admitted(&throttle, "claims") < 0.5);
 
     for _ in 0..60 {
-        ends(&mut throttle, "lookups", 2, 60);
-        throttle.step(OVER_BELOW);
+        record_outcomes(&mut throttle, "lookups", 2, 60);
+        throttle.step(LESS_URGENT_OVERLOAD);
     }
 
-    assert_eq!(open(&throttle, "claims"), 1.0);
-    assert!(open(&throttle, "lookups") < 0.1);
+    assert_eq!(admitted(&throttle, "claims"), 1.0);
+    assert!(admitted(&throttle, "lookups") < 0.1);
 }
 
-/// A service that all calls of one route end at: what is let in shows as
-/// demand there between a tenth of a second and a second later.
-fn replay(throttle: &mut Throttle, offered: f64, steps: usize) -> Vec<f64> {
-    let mut opens = vec![1.0; 5];
+/// Simulates a service that one route calls. Admitted requests show as demand
+/// up to a second later. Returns the admitted fractions.
+fn simulate(throttle: &mut Throttle, offered: f64, steps: usize) -> Vec<f64> {
+    let mut fractions = vec![1.0; 5];
     for _ in 0..steps {
-        let seen: f64 = opens[opens.len() - 5..].iter().sum::<f64>() / 5.0;
-        let all = 0.2 + offered * seen;
+        let recent: f64 =
+            fractions[fractions.len() - 5..].iter().sum::<f64>() / 5.0;
+        let total = 0.2 + offered * recent;
         let pressure = Pressure {
-            demand: all / 0.85,
+            demand: total / 0.85,
             urgent: 0.2 / 0.7,
             direct: 0.0,
-            pressed: all > 1.0,
+            pressed: total > 1.0,
         };
-        let failed = if all > 1.0 { 40 } else { 0 };
-        ends(throttle, "lookups", 2, failed);
+        let failed = if total > 1.0 { 40 } else { 0 };
+        record_outcomes(throttle, "lookups", 2, failed);
         throttle.step(pressure);
-        opens.push(open(throttle, "lookups"));
+        fractions.push(admitted(throttle, "lookups"));
     }
-    opens
+    fractions
 }
 
 #[test]
-fn what_is_let_in_settles_though_its_effect_is_seen_a_second_late() {
+fn admitted_fraction_settles_although_demand_lags() {
     let mut throttle = Throttle::new();
 
-    let opens = replay(&mut throttle, 2.0, 150);
+    let fractions = simulate(&mut throttle, 2.0, 150);
 
-    // 0.8 of the slots are left for an offer of 2.
-    let settled = &opens[50..];
-    let least = settled.iter().copied().fold(1.0, f64::min);
-    let most = settled.iter().copied().fold(0.0, f64::max);
+    // 0.8 of the capacity is left for an offered load of 2.
+    let tail = &fractions[50..];
+    let least = tail.iter().copied().fold(1.0, f64::min);
+    let most = tail.iter().copied().fold(0.0, f64::max);
     assert!(least > 0.35 && most < 0.45, "{least} {most}");
 }
 
 #[test]
-fn slots_that_nobody_asks_for_directly_are_used() {
-    let fits = |direct| {
+fn unused_direct_reserve_is_available_to_calls() {
+    let admitted_with = |direct| {
         let mut throttle = Throttle::new();
         for _ in 0..40 {
-            let demand = 1.4 * open(&throttle, "lookups");
-            ends(&mut throttle, "lookups", 2, 40);
+            let demand = 1.4 * admitted(&throttle, "lookups");
+            record_outcomes(&mut throttle, "lookups", 2, 40);
             let urgent = 0.0;
             let pressed = true;
             throttle.step(Pressure { demand, urgent, direct, pressed });
         }
-        open(&throttle, "lookups")
+        admitted(&throttle, "lookups")
     };
 
-    assert!(fits(0.0) > fits(0.15) * 1.1);
+    assert!(admitted_with(0.0) > admitted_with(0.15) * 1.1);
 }
 
 fn desk() -> Key {
@@ -215,11 +226,11 @@
     Key::of(&"parts".parse().unwrap())
 }
 
-/// Twice what fits is asked of `parts`; `desk` is calm.
-fn parts_short() -> Pressures {
-    let by_service = [(parts(), OVER_BELOW), (desk(), CALM)];
+/// `parts` is overloaded, `desk` is not.
+fn parts_overloaded() -> Pressures {
+    let by_service = [(parts(), LESS_URGENT_OVERLOAD), (desk(), CALM)];
     Pressures {
-        worst: OVER_BELOW,
+        worst: LESS_URGENT_OVERLOAD,
         by_service: by_service.into_iter().collect(),
     }
 }
@@ -234,12 +245,12 @@
 }
 
 #[test]
-fn a_direct_request_is_cheap_beside_trees_that_take_more_of_its_service() {
+fn direct_request_is_cheap_if_calls_use_more_of_its_service() {
     let mut throttle = Throttle::new();
-    throttle.learn("lookups", 2, &footprint(40, 60), desk());
-    throttle.learn("permits", 2, &footprint(0, 30), parts());
-    throttle.learn("searches", 2, &footprint(0, 240), parts());
-    throttle.learn("claims", 0, &footprint(40, 500), desk());
+    throttle.observe_route("lookups", 2, &footprint(40, 60), desk());
+    throttle.observe_route("permits", 2, &footprint(0, 30), parts());
+    throttle.observe_route("searches", 2, &footprint(0, 240), parts());
+    throttle.observe_route("claims", 0, &footprint(40, 500), desk());
 
     assert!(throttle.is_cheap("permits", parts()));
     assert!(!throttle.is_cheap("searches", parts()));
@@ -248,74 +259,73 @@
 }
 
 #[test]
-fn a_route_known_to_lead_to_a_short_service_is_cut_before_any_fails() {
+fn route_to_overloaded_service_is_cut_before_any_failure() {
     let mut throttle = Throttle::new();
-    throttle.learn("lookups", 2, &footprint(40, 60), desk());
-    throttle.learn("notes", 2, &footprint(40, 0), desk());
-    throttle.learn("claims", 0, &footprint(40, 120), desk());
+    throttle.observe_route("lookups", 2, &footprint(40, 60), desk());
+    throttle.observe_route("notes", 2, &footprint(40, 0), desk());
+    throttle.observe_route("claims", 0, &footprint(40, 120), desk());
 
-    throttle.step(parts_short());
+    throttle.step(parts_overloaded());
 
-    assert!(open(&throttle, "lookups") < 0.7);
-    assert_eq!(open(&throttle, "notes"), 1.0);
-    assert_eq!(open(&throttle, "claims"), 1.0);
+    assert!(admitted(&throttle, "lookups") < 0.7);
+    assert_eq!(admitted(&throttle, "notes"), 1.0);
+    assert_eq!(admitted(&throttle, "claims"), 1.0);
 }
 
-/// Answers from above a service that turns away part of what it gets and has
-/// spent so much of its repeats.
-fn hear(throttle: &mut Throttle, shed: f64, spent: f64) {
+/// Observes answers from a service that sheds and has spent these fractions.
+fn observe_answers(throttle: &mut Throttle, shed: f64, spent: f64) {
     let mut footprint = Footprint::default();
     footprint.add_at(parts(), Millis(15), State::new(shed, spent));
     for _ in 0..20 {
-        throttle.hear(&footprint);
+        throttle.observe_services(&footprint);
     }
 }
 
-/// Claims that make eight calls to parts.
-fn claims() -> Throttle {
+/// A throttle that has seen claims with eight calls to `parts`.
+fn claims_throttle() -> Throttle {
     let mut footprint = Footprint::default();
     for _ in 0..8 {
         footprint.add(parts(), Millis(15));
     }
     let desk = Key::of(&"desk".parse().unwrap());
     let mut throttle = Throttle::new();
-    throttle.learn("claims", 0, &footprint, desk);
+    throttle.observe_route("claims", 0, &footprint, desk);
     throttle
 }
 
-/// How many of a thousand claims are carried to their end.
-fn carried(throttle: &Throttle) -> usize {
+/// Counts how many of a thousand claims are likely to complete.
+fn count_completable(throttle: &Throttle) -> usize {
     let asker =
         |n: u32| Asker { rank: 0, lot: Lot::of(&format!("request-{n}")) };
-    (0..1_000).filter(|n| throttle.carries("claims", asker(*n))).count()
+    (0..1_000).filter(|n| throttle.can_complete("claims", asker(*n))).count()
 }
 
 #[test]
-fn what_repeats_do_not_carry_is_not_begun() {
-    let mut throttle = claims();
+fn requests_beyond_the_retry_budget_are_rejected() {
+    let mut throttle = claims_throttle();
 
-    hear(&mut throttle, 0.55, 0.8);
+    observe_answers(&mut throttle, 0.55, 0.8);
 
-    let carried = carried(&throttle);
-    assert!((240..350).contains(&carried), "{carried}");
+    let completable = count_completable(&throttle);
+    assert!((240..350).contains(&completable), "{completable}");
 }
 
 #[test]
-fn spent_repeats_matter_only_where_one_is_likely_to_be_needed() {
-    let mut throttle = claims();
+fn spent_retry_budget_matters_only_if_retries_are_likely() {
+    let mut throttle = claims_throttle();
 
-    hear(&mut throttle, 0.02, 0.8);
+    observe_answers(&mut throttle, 0.02, 0.8);
 
-    assert_eq!(throttle.spent("claims"), 0.0);
-    assert_eq!(carried(&throttle), 1_000);
+    assert_eq!(throttle.retry_budget_spent("claims"), 0.0);
+    assert_eq!(count_completable(&throttle), 1_000);
 }
 
 #[test]
-fn some_are_begun_though_nothing_is_left_for_them() {
-    let mut throttle = claims();
+fn some_requests_are_admitted_without_retry_budget() {
+    let mut throttle = claims_throttle();
 
-    hear(&mut throttle, 0.55, 1.0);
+    observe_answers(&mut throttle, 0.55, 1.0);
 
-    let carried = carried(&throttle);
-    assert!((20..100).contains(&carried), "{carried}");
+    let completable = count_completable(&throttle);
+    assert!((20..100).contains(&completable), "{completable}");
 }
--- a/crates/walnutmoor/src/mesh/dispatch.rs
+++ b/crates/walnutmoor/src/mesh/dispatch.rs
@@ -342,7 +342,7 @@
     let mut balance = state.balance.borrow_mut();
     let (word, failed) = match reply {
         Reply::Answered { status, footprint, .. } => {
-            let starved = footprint.is_starved();
+            let starved = footprint.has_refused_call();
             let word = Word::of_answer(*status, starved);
             // A run that lacked a call tells nothing of its instance.
             (word, (!starved).then_some(word == Word::Failed))
--- a/crates/walnutmoor/src/mesh/frame.rs
+++ b/crates/walnutmoor/src/mesh/frame.rs
@@ -40,7 +40,7 @@
     id::{Account, CallId, Era, Incarnation, NodeId, Service, Zone},
     lifetime::Lifetime,
     poison::{Crash, Evidence, Fingerprint},
-    quota::{self, Ask},
+    quota::{self, Request},
     table::Effect,
     time::Millis,
 };
@@ -78,9 +78,9 @@
     /// innocent.
     Evidence(Vec<Evidence>),
     /// May so many requests of an account be let in?
-    Ask(Account, Ask),
+    Ask(Account, Request),
     /// So many may.
-    Granted(Account, quota::Answer),
+    Granted(Account, quota::Response),
     /// The instance beside the sender has said that it leaves.
     Departed(Lifetime),
     /// These, beside the receiver, have said so to a former life of it.
--- a/crates/walnutmoor/src/mesh/ingress.rs
+++ b/crates/walnutmoor/src/mesh/ingress.rs
@@ -336,10 +336,10 @@
     let key = header::key(&head.headers);
     let sender = Sender {
         is_public: route.is_public,
-        is_run: state.serve.is_made_here(id),
-        is_like_call: header::parent(id).is_some(),
+        is_local_run: state.serve.is_made_here(id),
+        has_call_id: header::parent(id).is_some(),
     };
-    let account = accounts.judge(key, sender)?.cloned();
+    let account = accounts.authenticate(key, sender)?.cloned();
     // Whoever bears a key where there are accounts is a caller.
     let may_be_run = accounts.is_empty() || key == Key::Missing;
     let parent = match account.is_none() && may_be_run {
@@ -397,8 +397,8 @@
     let now = state.now();
     if state.journal.has_room(now, Event::Refused) {
         let throttle = state.throttle.borrow();
-        let let_in = throttle.part(&stay.route);
-        let spent = throttle.spent(&stay.route);
+        let let_in = throttle.admitted_fraction(&stay.route);
+        let spent = throttle.retry_budget_spent(&stay.route);
         let demand = state.balance.borrow().pressures().worst.demand;
         let fields = [
             ("why", kind.as_str().into()),
--- a/crates/walnutmoor/src/mesh/ingress/admission.rs
+++ b/crates/walnutmoor/src/mesh/ingress/admission.rs
@@ -12,7 +12,7 @@
     poison::SPREAD_FROM,
     repeat::{Asker, Lot},
     table::{Effect, Route},
-    throttle::Ended,
+    throttle::Outcome,
     time::Millis,
 };
 use walnutmoor_platform::header;
@@ -101,7 +101,7 @@
         return true;
     }
     let lot = Lot::of(header::root(attempt));
-    throttle.carries(&route.name, Asker { rank: route.priority, lot })
+    throttle.can_complete(&route.name, Asker { rank: route.priority, lot })
 }
 
 pub(super) fn path(head: &Head) -> String {
@@ -124,7 +124,7 @@
     let route = &request.route;
     let mut throttle = state.throttle.borrow_mut();
     if let End::Answered { footprint, .. } = end {
-        throttle.hear(footprint);
+        throttle.observe_services(footprint);
     }
     match end {
         End::Answered { footprint, .. } if request.inner => {
@@ -140,17 +140,26 @@
         End::Answered { status, footprint, .. } => {
             if *status < 500 {
                 let own = Key::of(&request.service);
-                throttle.learn(&route.name, route.priority, footprint, own);
+                throttle.observe_route(
+                    &route.name,
+                    route.priority,
+                    footprint,
+                    own,
+                );
             }
-            let short = footprint.is_starved() || *status == DEADLINE;
+            let short = footprint.has_refused_call() || *status == DEADLINE;
             let ended = match *status >= 500 && short {
-                true => Ended::Starved,
-                false => Ended::Served,
+                true => Outcome::Overloaded,
+                false => Outcome::Completed,
             };
-            throttle.ended(&route.name, route.priority, ended);
+            throttle.record_outcome(&route.name, route.priority, ended);
         }
         End::Failed(_) if !request.inner => {
-            throttle.ended(&route.name, route.priority, Ended::Served);
+            throttle.record_outcome(
+                &route.name,
+                route.priority,
+                Outcome::Completed,
+            );
         }
         End::Refused(..) | End::Failed(_) => {}
     }
--- a/crates/walnutmoor/src/mesh/quotas.rs
+++ b/crates/walnutmoor/src/mesh/quotas.rs
@@ -23,7 +23,8 @@
     error::{Kind, Ran, Refusal},
     id::{self, CallId, NodeId},
     quota::{
-        self, Allocator, Answer, Ask, Config, Fleet, Leases, Settled, Take,
+        self, Allocator, Config, Decision, Fleet, Leases, Request, Resolution,
+        Response,
     },
     time::Millis,
 };
@@ -139,22 +140,27 @@
         if let Some(node) = places.get(account) {
             return Some(*node);
         }
-        let node = quota::place(account, nodes.iter().copied())?;
+        let node = quota::allocator_for(account, nodes.iter().copied())?;
         places.insert(account.clone(), node);
         Some(node)
     }
 
-    fn settle(&self, now: Millis, account: &id::Account, settled: &Settled) {
-        for id in &settled.go {
+    fn settle(
+        &self,
+        now: Millis,
+        account: &id::Account,
+        settled: &Resolution,
+    ) {
+        for id in &settled.admitted {
             if !self.tell(*id, Verdict::Go) {
                 // Its caller has left, and nothing ran.
-                self.leases.borrow_mut().end(now, account, 0);
+                self.leases.borrow_mut().finish(now, account, 0);
             }
         }
         for (id, room) in &settled.refused {
             self.tell(*id, Verdict::Refuse(*room));
         }
-        for id in &settled.alone {
+        for id in &settled.local {
             self.tell(*id, Verdict::Alone);
         }
     }
@@ -186,7 +192,7 @@
     fn drop(&mut self) {
         let runs = self.runs.unwrap_or(1);
         let mut leases = self.state.quotas.leases.borrow_mut();
-        leases.end(self.state.now(), &self.account, runs);
+        leases.finish(self.state.now(), &self.account, runs);
     }
 }
 
@@ -231,12 +237,12 @@
         let id = CallId(quotas.last.get() + 1);
         quotas.last.set(id.0);
         let name = &account.name;
-        let take = quotas.leases.borrow_mut().take(self.now(), name, id);
+        let take = quotas.leases.borrow_mut().acquire(self.now(), name, id);
         let ask = match take {
-            Take::Go => return Verdict::Go,
-            Take::Refuse(room) => return Verdict::Refuse(room),
-            Take::Alone => return Verdict::Alone,
-            Take::Wait(ask) => ask,
+            Decision::Admit => return Verdict::Go,
+            Decision::Refuse(room) => return Verdict::Refuse(room),
+            Decision::Local => return Verdict::Alone,
+            Decision::Wait(ask) => ask,
         };
         let (sender, receiver) = oneshot::channel();
         quotas.waiting.borrow_mut().insert(id, sender);
@@ -266,7 +272,7 @@
             return Err(refusal.retry_after(RETRY_STARTING));
         }
         let mut leases = quotas.leases.borrow_mut();
-        let goes = leases.alone(
+        let goes = leases.admit_locally(
             self.now(),
             &account.name,
             quotas.config,
@@ -280,7 +286,7 @@
         }
     }
 
-    fn ask_allocator(self: &Rc<State>, account: &id::Account, ask: Ask) {
+    fn ask_allocator(self: &Rc<State>, account: &id::Account, ask: Request) {
         match self.quotas.place(account) {
             Some(node) if node == self.me => {
                 let answer = self.allot(account, ask);
@@ -304,7 +310,11 @@
     }
 
     /// Deals an account's quota, if this node is its allocator.
-    pub(super) fn allot(&self, account: &id::Account, ask: Ask) -> Answer {
+    pub(super) fn allot(
+        &self,
+        account: &id::Account,
+        ask: Request,
+    ) -> Response {
         let table = self.table().unwrap_or_default();
         let quota = table.accounts.get(account).and_then(|a| a.quota);
         let is_here = self.quotas.place(account) == Some(self.me);
@@ -312,9 +322,9 @@
             Some(quota) => {
                 let mut allocator = self.quotas.allocator.borrow_mut();
                 let now = self.now();
-                Answer::Granted(allocator.ask(now, account, quota, ask))
+                Response::Granted(allocator.grant(now, account, quota, ask))
             }
-            None => Answer::Elsewhere,
+            None => Response::NotAllocator,
         }
     }
 
@@ -322,24 +332,24 @@
     pub(super) fn granted(
         self: &Rc<State>,
         account: &id::Account,
-        answer: Answer,
+        answer: Response,
     ) {
         let quotas = &self.quotas;
         let mut leases = quotas.leases.borrow_mut();
         let now = self.now();
-        let settled = leases.hear(now, account, answer);
+        let settled = leases.handle_response(now, account, answer);
         drop(leases);
         quotas.settle(now, account, &settled);
-        if let Some(ask) = settled.ask {
+        if let Some(ask) = settled.request {
             self.ask_allocator(account, ask);
         }
-        if settled.elsewhere {
+        if settled.not_allocator {
             let (state, account) = (self.clone(), account.clone());
             tokio::task::spawn_local(async move {
                 sleep(ASK_AGAIN).await;
                 let now = state.now();
                 let mut leases = state.quotas.leases.borrow_mut();
-                let ask = leases.again(now, &account);
+                let ask = leases.retry(now, &account);
                 drop(leases);
                 if let Some(ask) = ask {
                     state.ask_allocator(&account, ask);
@@ -363,13 +373,13 @@
             links.into_iter().filter_map(sound).collect();
         nodes.push(self.me);
         nodes.sort_unstable();
-        let fleet = Fleet { reached: nodes.len(), known };
+        let fleet = Fleet { reachable: nodes.len(), known };
         quotas.fleet.set(fleet);
         if paused {
             quotas.allocator.borrow_mut().reset(now);
         }
-        quotas.allocator.borrow_mut().see(now, fleet);
-        quotas.leases.borrow_mut().sweep(now);
+        quotas.allocator.borrow_mut().set_fleet(now, fleet);
+        quotas.leases.borrow_mut().evict_idle(now);
         let mut members = quotas.members.borrow_mut();
         if members.nodes == nodes {
             return;
@@ -384,7 +394,7 @@
     pub(super) fn renew_quotas(&self, accounts: &Directory) {
         let quotas = &self.quotas;
         let keep = |name: &id::Account| accounts.get(name).is_some();
-        quotas.leases.borrow_mut().renew(keep);
+        quotas.leases.borrow_mut().reconfigure(keep);
         quotas.allocator.borrow_mut().retain(keep);
     }
 }
--- a/crates/walnutmoor/src/mesh/run.rs
+++ b/crates/walnutmoor/src/mesh/run.rs
@@ -85,7 +85,7 @@
     let service = &state.settings.service;
     let ended = state.now();
     let told = serve.repeats.borrow().state(ended);
-    footprint.add_at(Key::of(service), ended.since(now), told);
+    footprint.add_with_state(Key::of(service), ended.since(now), told);
     let crash = crash.filter(|_| !state.is_sound(fingerprint));
     let reply = match crash {
         // Why the instance went away is not lost: whoever sends the request
--- a/crates/walnutmoor/src/mesh/serve.rs
+++ b/crates/walnutmoor/src/mesh/serve.rs
@@ -288,7 +288,9 @@
         match ended {
             Called::Answered(footprint) => run.footprint.merge(footprint),
             // A sibling would make the same call, and lose more instances.
-            Called::TurnedAway | Called::Fatal => run.footprint.starve(),
+            Called::TurnedAway | Called::Fatal => {
+                run.footprint.mark_refused_call()
+            }
         }
     }
 
