--- a/crates/walnutmoor-core/src/account.rs
+++ b/crates/walnutmoor-core/src/account.rs
@@ -263,8 +263,8 @@
     /// # Errors
     ///
     /// Returns [`Kind::UnknownKey`], which is final, if a key is required and
-    /// none, several or an unknown one was sent. Returns [`Kind::Orphaned`] if the
-    /// request may be a call of a run that this node does not know, for
+    /// none, several or an unknown one was sent. Returns [`Kind::Orphaned`]
+    /// if the request may be a call of a run that this node does not know, for
     /// example after a restart: nobody waits for the answer, but the sender
     /// must not be told that its key is invalid.
     pub fn authenticate(
--- a/crates/walnutmoor-core/src/throttle.rs
+++ b/crates/walnutmoor-core/src/throttle.rs
@@ -86,9 +86,9 @@
 /// Bounds of the factor that one cut applies to the admitted fraction.
 const CUT_FACTOR_RANGE: (f64, f64) = (0.7, 0.95);
 
-/// Part of the remaining headroom by which the admitted fraction grows in one
-/// step. The effect of a step shows only several steps later, so a larger part
-/// overshoots.
+/// Growth of the admitted fraction in one step, relative to its value and to
+/// the remaining headroom. The effect of a step shows several steps later, so a
+/// larger growth overshoots.
 const RAISE_FRACTION: f64 = 0.25;
 
 /// Minimum growth in one step, so that small fractions recover as well.
