--- a/crates/walnutmoor-core/src/throttle.rs
+++ b/crates/walnutmoor-core/src/throttle.rs
@@ -87,8 +87,8 @@
 const CUT_FACTOR_RANGE: (f64, f64) = (0.7, 0.95);
 
 /// Growth of the admitted fraction in one step, relative to its value and to
-/// the remaining headroom. The effect of a step shows several steps later, so a
-/// larger growth overshoots.
+/// the remaining headroom. The effect of a step shows several steps later, so
+/// a larger growth overshoots.
 const RAISE_FRACTION: f64 = 0.25;
 
 /// Minimum growth in one step, so that small fractions recover as well.
--- a/crates/walnutmoor-core/src/throttle/route.rs
+++ b/crates/walnutmoor-core/src/throttle/route.rs
@@ -136,7 +136,7 @@
 
     pub(super) fn observe(&mut self, footprint: &Footprint, target: Key) {
         for key in footprint.keys() {
-            let span = footprint.span(key).0 as f64;
+            let span = footprint.slot_time(key).0 as f64;
             let means = match key == target {
                 true => &mut self.own_slot_ms,
                 false => {
--- a/crates/walnutmoor-core/tests/throttle.rs
+++ b/crates/walnutmoor-core/tests/throttle.rs
@@ -275,7 +275,7 @@
 /// Observes answers from a service that sheds and has spent these fractions.
 fn observe_answers(throttle: &mut Throttle, shed: f64, spent: f64) {
     let mut footprint = Footprint::default();
-    footprint.add_at(parts(), Millis(15), State::new(shed, spent));
+    footprint.add_with_state(parts(), Millis(15), State::new(shed, spent));
     for _ in 0..20 {
         throttle.observe_services(&footprint);
     }
