--- a/crates/walnutmoor-core/src/balance.rs
+++ b/crates/walnutmoor-core/src/balance.rs
@@ -34,10 +34,10 @@
 
 use crate::{
     bulkhead::{Load, RANKS},
-    course::Scope,
     digest::Map,
     footprint::Key,
     id::{NodeId, Service, Zone},
+    retry_state::Scope,
     time::Millis,
 };
 
--- a/crates/walnutmoor-core/src/call.rs
+++ b/crates/walnutmoor-core/src/call.rs
@@ -10,7 +10,7 @@
 # Example
 
 ```
-use walnutmoor_core::{call::Trailer, route::Load};
+use walnutmoor_core::{call::Trailer, picker::Load};
 
 let load = Some(Load { busy: 3, allowed: 40 });
 let trailer = Trailer { load, ..Trailer::default() };
@@ -26,8 +26,8 @@
     class::{Key, Kind},
     error::Refusal,
     id::{self, CallId, Incarnation, Request, Revision, Service},
+    picker::Load,
     retry::Budget,
-    route::Load,
     ticket::Ticket,
     time::Millis,
 };
--- a/crates/walnutmoor-core/src/node/serve.rs
+++ b/crates/walnutmoor-core/src/node/serve.rs
@@ -8,8 +8,8 @@
     error::{Kind, Ran, Refusal},
     gate::{self, End, Gate, Offer, Step, Verdict},
     id::{CallId, Service},
+    picker::Load,
     retry::Budget,
-    route::Load,
     server::{Announcement, State},
     time::Millis,
 };
--- a/crates/walnutmoor-core/src/route.rs
+++ b/crates/walnutmoor-core/src/picker.rs
@@ -12,7 +12,7 @@
 
 ```
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng};
-use walnutmoor_core::{directory::Servers, prelude::*, route::Router};
+use walnutmoor_core::{directory::Servers, prelude::*, picker::Router};
 
 let node = |text: &str| text.parse::<NodeId>().unwrap();
 let servers = Servers {
--- a/crates/walnutmoor-core/src/repeat.rs
+++ b/crates/walnutmoor-core/src/retry_budget.rs
@@ -26,7 +26,7 @@
 # Example
 
 ```
-use walnutmoor_core::{prelude::*, repeat::*};
+use walnutmoor_core::{prelude::*, retry_budget::*};
 
 let mut repeats = Repeats::new(Config::new().ratio(0.1).slack(0.0));
 for at in 0..10 {
--- a/crates/walnutmoor-core/src/course.rs
+++ b/crates/walnutmoor-core/src/retry_state.rs
@@ -16,7 +16,7 @@
 # Example
 
 ```
-use walnutmoor_core::{course::*, id::NodeId};
+use walnutmoor_core::{retry_state::*, id::NodeId};
 
 let id = |port| NodeId(([127, 0, 0, 1], port).into());
 let mut course = Course::new(1, true);
--- a/crates/walnutmoor-core/src/throttle.rs
+++ b/crates/walnutmoor-core/src/throttle.rs
@@ -51,7 +51,7 @@
     balance::{Pressure, Pressures},
     digest::Map,
     footprint::{Footprint, Key},
-    repeat::Asker,
+    retry_budget::Asker,
 };
 
 /// How a request ended that was let in.
--- a/crates/walnutmoor-core/src/throttle/cover.rs
+++ b/crates/walnutmoor-core/src/throttle/cover.rs
@@ -16,7 +16,7 @@
 use crate::{
     digest::Map,
     footprint::{Footprint, Key},
-    repeat::Asker,
+    retry_budget::Asker,
 };
 
 /// The chance to end without any repeat from which a request is let in
--- a/crates/walnutmoor-core/tests/balance.rs
+++ b/crates/walnutmoor-core/tests/balance.rs
@@ -3,8 +3,8 @@
 use walnutmoor_core::{
     balance::{Balance, Choice, Want},
     bulkhead::Load,
-    course::Scope,
     id::{NodeId, Service},
+    retry_state::Scope,
     time::Millis,
 };
 
--- a/crates/walnutmoor-core/tests/course.rs
+++ b/crates/walnutmoor-core/tests/course.rs
@@ -3,8 +3,8 @@
 use walnutmoor_core::{
     balance::{Balance, Choice, Want},
     bulkhead::Load,
-    course::{Course, Step, Word},
     id::{NodeId, Service},
+    retry_state::{Course, Step, Word},
     time::Millis,
 };
 
--- a/crates/walnutmoor-core/tests/repeat.rs
+++ b/crates/walnutmoor-core/tests/repeat.rs
@@ -6,7 +6,7 @@
     ReferenceStateMachine, StateMachineTest, prop_state_machine,
 };
 use walnutmoor_core::{
-    repeat::{Asker, Config, Lot, Repeats},
+    retry_budget::{Asker, Config, Lot, Repeats},
     time::Millis,
 };
 
--- a/crates/walnutmoor-core/tests/replay/mod.rs
+++ b/crates/walnutmoor-core/tests/replay/mod.rs
@@ -17,11 +17,11 @@
 use walnutmoor_core::{
     balance::{Balance, Choice, Want},
     bulkhead::{Bulkhead, Next, Offer, Work, urgency},
-    course::{Course, Step, Word},
     digest::Map,
     footprint::{Footprint, Key},
     id::{CallId, NodeId, Service},
-    repeat::{Asker, Config, Lot, Repeats},
+    retry_budget::{Asker, Config, Lot, Repeats},
+    retry_state::{Course, Step, Word},
     throttle::{Ended, Throttle},
     time::Millis,
 };
--- a/crates/walnutmoor-core/tests/throttle.rs
+++ b/crates/walnutmoor-core/tests/throttle.rs
@@ -3,7 +3,7 @@
 use walnutmoor_core::{
     balance::{Pressure, Pressures},
     footprint::{Footprint, Key, State},
-    repeat::{Asker, Lot},
+    retry_budget::{Asker, Lot},
     throttle::{Ended, Throttle},
     time::Millis,
 };
--- a/crates/walnutmoor/src/mesh/dispatch.rs
+++ b/crates/walnutmoor/src/mesh/dispatch.rs
@@ -14,11 +14,11 @@
 use tokio::{sync::oneshot, time::sleep};
 use walnutmoor_core::{
     balance::{Choice, Want},
-    course::{self, Step, Word},
     error::Kind,
     footprint::Footprint,
     id::{Account, CallId, NodeId, Service},
     poison::{self, Fingerprint, Place, Standing},
+    retry_state::{self, Step, Word},
     table::{Effect, Route},
     time::Millis,
 };
@@ -229,13 +229,13 @@
     };
     let now = state.now();
     let due = Some(request.deadline.since(now));
-    let scope = course::Scope { due, ..course.way.scope() };
+    let scope = retry_state::Scope { due, ..course.way.scope() };
     state.balance.borrow_mut().choose_within(now, want, &scope)
 }
 
 /// What has become of a request so far.
 struct Course {
-    way: course::Course,
+    way: retry_state::Course,
     /// The last answer that an instance failed it with.
     failed: Option<Reply>,
     /// Why it was turned away last, and when there may be room.
@@ -245,7 +245,7 @@
 impl Course {
     fn new(route: &Route) -> Course {
         let again = route.effect == Effect::Idempotent;
-        let way = course::Course::new(route.attempts, again);
+        let way = retry_state::Course::new(route.attempts, again);
         Course { way, failed: None, refusal: None }
     }
 
--- a/crates/walnutmoor/src/mesh/ingress/admission.rs
+++ b/crates/walnutmoor/src/mesh/ingress/admission.rs
@@ -10,7 +10,7 @@
     error::{Kind, Ran, Refusal},
     footprint::Key,
     poison::SPREAD_FROM,
-    repeat::{Asker, Lot},
+    retry_budget::{Asker, Lot},
     table::{Effect, Route},
     throttle::Ended,
     time::Millis,
--- a/crates/walnutmoor/src/mesh/serve.rs
+++ b/crates/walnutmoor/src/mesh/serve.rs
@@ -23,7 +23,7 @@
     id::CallId,
     lifetime::Belief,
     poison::{Fingerprint, HOLD, Isolation, Standing, Turn},
-    repeat::{self, Asker, Lot, Repeats},
+    retry_budget::{self, Asker, Lot, Repeats},
     table::Effect,
     time::Millis,
 };
@@ -199,7 +199,7 @@
     /// No instance is known yet.
     pub fn new(settings: &Settings) -> Serve {
         let bounds = settings.bounds();
-        let mut config = repeat::Config::new();
+        let mut config = retry_budget::Config::new();
         if let Some(ratio) = bounds.repeat_ratio {
             config = config.ratio(ratio * RATIO_PART);
             config = config.total(ratio * TOTAL_PART);
