--- a/crates/walnutmoor-core/src/balance.rs
+++ b/crates/walnutmoor-core/src/balance.rs
@@ -1,12 +1,12 @@
 /*!
-The choice of the instance that gets a request.
+Load balancing: chooses the instance that gets a request.
 
-The load pattern: instances of one service differ in speed by three times,
-some turn slow or fail part of their requests while their health is good, and
-what is known of them is a few milliseconds old. The cheapest one is chosen:
-its wait for this rank, its run time, what this node has sent it since its
-last report, and what its recent failures make a request lose. One in the own
-zone is kept as long as it costs little more, since bytes between zones cost.
+Instances of one service differ in speed, can slow down or fail part of their
+requests while their health checks pass, and their load reports are slightly
+out of date. The balancer chooses the instance with the lowest expected cost:
+its queueing time for the rank, its run time, the requests sent to it since its
+last report and its recent failure rate. Instances in the local zone are
+preferred unless they cost much more, since traffic between zones is paid for.
 
 # Example
 
@@ -14,14 +14,14 @@
 use walnutmoor_core::{balance::*, bulkhead::Load, prelude::*};
 
 let id = |port| NodeId(([127, 0, 0, 1], port).into());
-let mut balance = Balance::new("a".parse().unwrap());
+let mut balance = Balancer::new("a".parse().unwrap());
 let (service, zone) = ("desk".parse().unwrap(), "b".parse().unwrap());
 balance.join(id(1), &service, &zone);
 balance.report(id(1), Load { accepting: true, limit: 4, ..Load::default() });
 let target = Millis(100);
-let want = Want { service: &service, priority: 0, target, again: true };
-assert_eq!(balance.choose(Millis(0), want, &[]), Choice::Send(id(1)));
-assert_eq!(balance.choose(Millis(0), want, &[id(1)]), Choice::None);
+let pick = Pick { service: &service, priority: 0, target, idempotent: true };
+assert_eq!(balance.choose(Millis(0), pick, &[]), Choice::Send(id(1)));
+assert_eq!(balance.choose(Millis(0), pick, &[id(1)]), Choice::None);
 ```
 */
 
@@ -41,68 +41,65 @@
     time::Millis,
 };
 
-/// The part of a request's target that staying in the own zone may cost: bytes
-/// between zones are paid for.
-const STAY: f64 = 0.25;
+/// The cost of sending a request to another zone, as a fraction of its target
+/// latency.
+const REMOTE_ZONE_COST_SHARE: f64 = 0.25;
 
-/// One request in so many goes to the next instance in turn instead of the
-/// cheapest. What is known of an instance is learned from its answers, so one
-/// that was slow or failing would never be seen to have recovered.
-const EXPLORE: usize = 32;
+/// One request in this many goes to the next instance in turn instead of the
+/// cheapest, so that an instance that was slow or failing is seen to recover.
+const REQUESTS_PER_PROBE: usize = 32;
 
-/// The share of failures from which an instance is explored only with
-/// requests that may run again.
-const EXPLORE_MAX: f64 = 0.2;
+/// The failure rate from which an instance is probed only with idempotent
+/// requests.
+const MAX_PROBE_FAILURE_RATE: f64 = 0.2;
 
-/// The share of failures up to which an instance is worth a second try.
-const HELP_AT: f64 = 0.15;
+/// The failure rate below which a sibling is worth a retry.
+const RETRY_FAILURE_RATE: f64 = 0.15;
 
-/// The share of failures that an instance is taken to have at least in the
-/// eyes of a request that it has just turned away. Siblings that fail less
-/// are asked first; where all fail as often, the nearest is asked again.
-const WARY: f64 = 0.4;
+/// The failure rate assumed at least for an instance that has just rejected
+/// the request. Siblings that fail less are tried first; if all fail as often,
+/// the nearest is tried again.
+const REJECTED_FAILURE_RATE: f64 = 0.4;
 
-/// What it costs, in shares of what staying in the zone may cost, to send a
-/// request where a long run would miss its timeout. With it a request leaves
-/// the zone of a slow instance; on a quiet day of 12 nodes, of 14,450 requests
-/// 33 ended at their timeout without it and 9 with it.
-const MISSES: f64 = 2.0;
+/// The cost of an instance where a long run would exceed the timeout, in
+/// multiples of the cost of leaving the zone.
+const TIMEOUT_COST_FACTOR: f64 = 2.0;
 
-/// What a request wants.
+/// The properties of a request by which an instance is chosen.
 #[derive(Clone, Copy, Debug)]
-pub struct Want<'a> {
+pub struct Pick<'a> {
     /// The service.
     pub service: &'a Service,
     /// The rank; 0 is the most urgent.
     pub priority: u8,
-    /// The time within which its answer is worth most.
+    /// The target latency.
     pub target: Millis,
-    /// True if it may run again.
-    pub again: bool,
+    /// True if the request may run more than once.
+    pub idempotent: bool,
 }
 
-/// Where a request goes.
+/// The outcome of choosing an instance.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Choice {
-    /// To the instance beside this node.
+    /// Send the request to the instance of this node.
     Send(NodeId),
-    /// Nowhere: no instance that takes work is known.
+    /// No eligible instance is known.
     None,
 }
 
-/// What a node knows of the instances of all services.
+/// Chooses among the instances of all services that a node knows.
 #[derive(Debug)]
-pub struct Balance {
+pub struct Balancer {
     zone: Zone,
     services: Map<Service, Vec<NodeId>>,
     servers: Map<NodeId, (Service, Server)>,
     turn: usize,
 }
 
-impl Balance {
-    /// A node in this zone that knows nobody.
-    pub fn new(zone: Zone) -> Balance {
-        Balance {
+impl Balancer {
+    /// Creates a balancer for a node in this zone, without instances.
+    pub fn new(zone: Zone) -> Balancer {
+        Balancer {
             zone,
             services: Map::default(),
             servers: Map::default(),
@@ -110,7 +107,7 @@
         }
     }
 
-    /// A node stands beside an instance of a service.
+    /// Adds the instance of a node, or replaces it if its service changed.
     pub fn join(&mut self, id: NodeId, service: &Service, zone: &Zone) {
         if let Some((known, _)) = self.servers.get(&id) {
             if known == service {
@@ -123,7 +120,7 @@
         self.services.entry(service.clone()).or_default().push(id);
     }
 
-    /// A node is gone.
+    /// Removes the instance of a node.
     pub fn leave(&mut self, id: NodeId) {
         let Some((service, _)) = self.servers.remove(&id) else {
             return;
@@ -133,8 +130,8 @@
         }
     }
 
-    /// A node tells the load of its instance. True if that tells whether
-    /// the instance takes work, and it was not known or was otherwise.
+    /// Records a load report. Returns true if it changes whether the
+    /// instance accepts work.
     pub fn report(&mut self, id: NodeId, load: Load) -> bool {
         let Some((_, server)) = self.servers.get_mut(&id) else {
             return false;
@@ -142,22 +139,22 @@
         server.report(load)
     }
 
-    /// A node can't be reached until then.
+    /// Excludes an unreachable node until the given time.
     pub fn down(&mut self, id: NodeId, until: Millis) {
         if let Some((_, server)) = self.servers.get_mut(&id) {
             server.down_until = until;
         }
     }
 
-    /// A request was sent there.
+    /// Records that a request was sent.
     pub fn sent(&mut self, id: NodeId) {
         if let Some((_, server)) = self.servers.get_mut(&id) {
-            server.under_way += 1;
+            server.in_flight += 1;
         }
     }
 
-    /// A request came back. `failed` tells whether the instance failed it;
-    /// `None` if it says nothing of the instance.
+    /// Records that a request ended. `failed` tells whether the instance
+    /// failed it; `None` if the outcome says nothing about the instance.
     pub fn done(&mut self, id: NodeId, failed: Option<bool>) {
         let Some((_, server)) = self.servers.get_mut(&id) else {
             return;
@@ -169,30 +166,30 @@
     pub fn choose(
         &mut self,
         now: Millis,
-        want: Want<'_>,
+        pick: Pick<'_>,
         tried: &[NodeId],
     ) -> Choice {
-        let scope = Scope { shut: tried, ..Scope::default() };
-        self.choose_within(now, want, &scope)
+        let scope = Scope { excluded: tried, ..Scope::default() };
+        self.choose_within(now, pick, &scope)
     }
 
-    /// Chooses an instance within a scope.
+    /// Chooses an instance that the scope allows.
     pub fn choose_within(
         &mut self,
         now: Millis,
-        want: Want<'_>,
+        pick: Pick<'_>,
         scope: &Scope<'_>,
     ) -> Choice {
-        let Some(ids) = self.services.get(want.service) else {
+        let Some(ids) = self.services.get(pick.service) else {
             return Choice::None;
         };
         self.turn = self.turn.wrapping_add(1);
-        let rank = usize::from(want.priority).min(RANKS - 1);
-        let stay = want.target.0 as f64 * STAY;
-        let explores = self.turn.is_multiple_of(EXPLORE);
-        let first = self.turn / EXPLORE;
-        let usual = self.usual(ids, rank);
-        let failing = self.failures(ids).usual();
+        let rank = usize::from(pick.priority).min(RANKS - 1);
+        let remote_cost = pick.target.0 as f64 * REMOTE_ZONE_COST_SHARE;
+        let probes = self.turn.is_multiple_of(REQUESTS_PER_PROBE);
+        let first = self.turn / REQUESTS_PER_PROBE;
+        let typical_run_time = self.typical_run_time(ids, rank);
+        let typical_failing = self.failures(ids).expected_rate();
         let mut best: Option<(f64, NodeId)> = None;
         for at in 0..ids.len() {
             let id = ids[(at + first) % ids.len()];
@@ -202,23 +199,26 @@
             if !server.is_usable(now) || !scope.allows(id) {
                 continue;
             }
-            let wary = scope.wary.contains(&id);
-            let failing = server.failures.share_beside(failing);
-            let sound = want.again || failing < EXPLORE_MAX;
+            let rejected = scope.rejected_by.contains(&id);
+            let failing = server.failures.rate_with_prior(typical_failing);
+            let safe = pick.idempotent || failing < MAX_PROBE_FAILURE_RATE;
             let idle = server.load.waits[rank] == 0;
-            if explores && sound && idle && !wary {
+            if probes && safe && idle && !rejected {
                 return Choice::Send(id);
             }
-            let floor = if wary { WARY } else { 0.0 };
+            let floor = if rejected { REJECTED_FAILURE_RATE } else { 0.0 };
             let failing = failing.max(floor);
-            let takes = server.takes(rank).unwrap_or(usual);
-            let mut cost = server.cost(rank, takes);
-            cost += failing * want.target.0 as f64;
+            let run_time = server.run_time(rank).unwrap_or(typical_run_time);
+            let mut cost = server.cost(rank, run_time);
+            cost += failing * pick.target.0 as f64;
             if server.zone != self.zone {
-                cost += stay;
+                cost += remote_cost;
             }
-            if scope.due.is_some_and(|due| server.misses(rank, due)) {
-                cost += stay * MISSES;
+            if scope
+                .time_left
+                .is_some_and(|left| server.may_time_out(rank, left))
+            {
+                cost += remote_cost * TIMEOUT_COST_FACTOR;
             }
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, id));
@@ -230,7 +230,7 @@
         }
     }
 
-    /// The instances of a service that take work and lie within a scope.
+    /// The instances of a service that accept work and that the scope allows.
     pub fn usable(
         &self,
         now: Millis,
@@ -246,19 +246,20 @@
         usable.copied().collect()
     }
 
-    /// How long work of a rank usually takes at these instances. It is taken
-    /// for the run time of one that has answered none: without this a new
-    /// instance looked like the fastest, every node sent it all it had, and
-    /// cold as it was it held them past their timeouts.
-    fn usual(&self, ids: &[NodeId], rank: usize) -> f64 {
+    /// The mean run time of a rank at these instances.
+    ///
+    /// Stands in for the run time of instances that have none yet. Otherwise
+    /// a new instance would look the fastest and get all requests.
+    fn typical_run_time(&self, ids: &[NodeId], rank: usize) -> f64 {
         let servers = ids.iter().filter_map(|id| self.servers.get(id));
-        let known = servers.filter_map(|(_, server)| server.takes(rank));
-        let (sum, count) = known
-            .fold((0.0, 0), |(sum, count), takes| (sum + takes, count + 1));
+        let known = servers.filter_map(|(_, server)| server.run_time(rank));
+        let (sum, count) = known.fold((0.0, 0), |(sum, count), run_time| {
+            (sum + run_time, count + 1)
+        });
         sum / f64::from(count.max(1))
     }
 
-    /// How hard each service is pressed.
+    /// The load pressure on each service.
     pub fn pressures(&self) -> Pressures {
         let mut pressures = Pressures::default();
         for (service, ids) in &self.services {
@@ -266,34 +267,35 @@
             let worst = &mut pressures.worst;
             worst.demand = worst.demand.max(pressure.demand);
             worst.urgent = worst.urgent.max(pressure.urgent);
-            worst.direct = worst.direct.max(pressure.direct);
-            worst.pressed |= pressure.pressed;
+            worst.least_urgent = worst.least_urgent.max(pressure.least_urgent);
+            worst.shedding |= pressure.shedding;
             pressures.by_service.insert(Key::of(service), pressure);
         }
         pressures
     }
 
+    /// The pressure on these instances, weighted by their limits.
     fn pressure_of(&self, ids: &[NodeId]) -> Pressure {
         let mut sum = Pressure::default();
-        let mut room = 0.0;
+        let mut capacity = 0.0;
         let loads = ids.iter().filter_map(|id| self.load(*id));
         for load in loads.filter(|load| load.accepting) {
             let limit = f64::from(load.limit);
             sum.demand += f64::from(load.demand) / 1_000.0 * limit;
             sum.urgent += f64::from(load.urgent) / 1_000.0 * limit;
-            sum.direct += f64::from(load.direct) / 1_000.0 * limit;
-            sum.pressed |= load.pressed;
-            room += limit;
+            sum.least_urgent += f64::from(load.least_urgent) / 1_000.0 * limit;
+            sum.shedding |= load.shedding;
+            capacity += limit;
         }
-        if room > 0.0 {
-            sum.demand /= room;
-            sum.urgent /= room;
-            sum.direct /= room;
+        if capacity > 0.0 {
+            sum.demand /= capacity;
+            sum.urgent /= capacity;
+            sum.least_urgent /= capacity;
         }
         sum
     }
 
-    /// What is known of the failures of these instances together.
+    /// The failures of these instances, added up.
     fn failures(&self, ids: &[NodeId]) -> Failures {
         let servers = ids.iter().filter_map(|id| self.servers.get(id));
         let mut sum = Failures::default();
@@ -301,15 +303,14 @@
         sum
     }
 
-    /// True if a request that this instance failed is likely to fare better
-    /// at another one.
+    /// True if a request that this instance failed is likely to succeed at
+    /// another one.
     ///
-    /// Where all instances of a service fail alike, the cause lies deeper,
-    /// and trying again only adds to it. A node of a large service has used
-    /// few of its instances, and those that it has not used prove nothing: a
-    /// sibling helps if enough was seen of it to know it sound, and otherwise
-    /// all siblings are judged by what was seen of them together.
-    pub fn may_help(&self, id: NodeId) -> bool {
+    /// If all instances of a service fail alike, the cause is elsewhere and
+    /// retries only add load. A sibling qualifies if enough requests were seen
+    /// to trust its low failure rate; otherwise the siblings are judged by
+    /// their failures added up.
+    pub fn retry_may_succeed(&self, id: NodeId) -> bool {
         let Some((service, here)) = self.servers.get(&id) else {
             return true;
         };
@@ -318,28 +319,28 @@
         let others = others.filter_map(|other| self.servers.get(other));
         let accepting = others.filter(|(_, other)| other.load.accepting);
         let mut all = Failures::default();
-        let bound = HELP_AT.max(here.failures.share() / 2.0);
+        let bound = RETRY_FAILURE_RATE.max(here.failures.rate() / 2.0);
         for (_, other) in accepting {
             let failures = other.failures;
-            if failures.is_known() && failures.share() < bound {
+            if failures.is_known() && failures.rate() < bound {
                 return true;
             }
             all.add(failures);
         }
-        all.share() < bound
+        all.rate() < bound
     }
 
-    /// The load that a node's instance last reported.
+    /// The last load report of a node's instance.
     pub fn load(&self, id: NodeId) -> Option<Load> {
         self.servers.get(&id).map(|(_, server)| server.load)
     }
 
-    /// How many instances of a service are known.
+    /// The number of known instances of a service.
     pub fn count(&self, service: &Service) -> usize {
         self.services.get(service).map_or(0, Vec::len)
     }
 
-    /// Nodes with their services, in no order.
+    /// All nodes with their services, in arbitrary order.
     pub fn servers(&self) -> impl Iterator<Item = (NodeId, &Service)> {
         self.servers.iter().map(|(id, (service, _))| (*id, service))
     }
--- a/crates/walnutmoor-core/src/balance/pressure.rs
+++ b/crates/walnutmoor-core/src/balance/pressure.rs
@@ -1,34 +1,35 @@
 /*!
-How hard services are pressed, as their instances tell.
+The load pressure on services, from the reports of their instances.
 */
 
 use crate::{digest::Map, footprint::Key};
 
-/// How hard a service is pressed.
+/// The load pressure on one service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Pressure {
-    /// Urgent work that is asked for, as a part of what can be done.
+    /// The demand of all but the least urgent rank, relative to the capacity
+    /// that the reserve of the least urgent rank leaves.
     pub demand: f64,
-    /// The same of the requests that matter most alone.
+    /// The demand of the urgent ranks, relative to the capacity that the
+    /// reserves of the other ranks leave.
     pub urgent: f64,
-    /// Work of the least urgent that is asked for directly, as a part of all
-    /// that can be done.
-    pub direct: f64,
-    /// True if an instance turns urgent work away.
-    pub pressed: bool,
+    /// The demand of the least urgent rank, relative to the full capacity.
+    pub least_urgent: f64,
+    /// True if an instance rejects work above the least urgent rank.
+    pub shedding: bool,
 }
 
-/// How hard all services are pressed.
+/// The load pressure on all services.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Pressures {
-    /// The worst of each kind, over all services.
+    /// The maximum of each value over all services.
     pub worst: Pressure,
-    /// By service.
+    /// The pressure by service.
     pub by_service: Map<Key, Pressure>,
 }
 
 impl From<Pressure> for Pressures {
-    /// One service of which nobody knows the name.
+    /// The pressure on a single service whose name is not known.
     fn from(worst: Pressure) -> Pressures {
         Pressures { worst, by_service: Map::default() }
     }
--- a/crates/walnutmoor-core/src/balance/server.rs
+++ b/crates/walnutmoor-core/src/balance/server.rs
@@ -1,37 +1,33 @@
 /*!
-What a node knows of one instance: what it last told of its load, what was sent
-there since, and how often it failed.
+The state that a node keeps of one instance: its last load report, the requests
+sent since and its failure rate.
 */
 
 use crate::{bulkhead::Load, id::Zone, time::Millis};
 
-/// How fast the share of failures follows: half of it is forgotten after
-/// some 14 requests.
-const FAIL_STEP: f64 = 0.05;
+/// The weight of one request in the moving average of failures.
+const FAILURE_WEIGHT: f64 = 0.05;
 
-/// The share of failures that an instance keeps at most in this node's
-/// eyes, so that some requests go on to tell when it has recovered.
-const FAIL_MAX: f64 = 0.95;
+/// The highest failure rate, below 1 so that an instance still gets requests
+/// that can show its recovery.
+const MAX_FAILURE_RATE: f64 = 0.95;
 
-/// The evidence from which the failures of one instance are judged by
-/// themselves: that of some 10 requests. With fewer, one of many instances
-/// that all fail half of what they get looks sound by luck.
-const KNOWN_AT: f64 = 0.4;
+/// The evidence from which an instance is judged by its own failures. With
+/// less, one of many failing instances could look healthy by chance.
+const MIN_EVIDENCE: f64 = 0.4;
 
-/// The evidence, in instances wholly known, with which others are taken to be
-/// sound until more is seen: one that fails must not spoil the name of
-/// siblings that were never used.
-const SOUND: f64 = 2.0;
+/// The weight of the prior that instances are healthy, in instances with full
+/// evidence, so that one failing instance does not discredit unused siblings.
+const HEALTHY_PRIOR_WEIGHT: f64 = 2.0;
 
-/// How much longer than the mean one run in a hundred takes. On a calm day
-/// half of the reservations took 212 ms and 99 in 100 less than 621 ms.
-const LONG: f64 = 3.0;
+/// The 99th percentile of run times, in multiples of the mean.
+const LONG_RUN_FACTOR: f64 = 3.0;
 
-/// Failures as seen by one node, and how much it has seen.
+/// The failures that one node has seen, and the evidence behind them.
 ///
 /// Both start at 0 and are averaged in the same way, so their quotient is the
-/// share of failures however little was seen, and sums over several instances
-/// weigh each by what is known of it.
+/// failure rate even after few requests, and sums over several instances
+/// weight each by its evidence.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Failures {
     failing: f64,
@@ -39,55 +35,55 @@
 }
 
 impl Failures {
-    /// Counts a request that came back.
+    /// Counts a request that ended.
     pub(super) fn count(&mut self, failed: bool) {
-        let target = if failed { FAIL_MAX } else { 0.0 };
-        self.failing += (target - self.failing) * FAIL_STEP;
-        self.evidence += (1.0 - self.evidence) * FAIL_STEP;
+        let sample = if failed { MAX_FAILURE_RATE } else { 0.0 };
+        self.failing += (sample - self.failing) * FAILURE_WEIGHT;
+        self.evidence += (1.0 - self.evidence) * FAILURE_WEIGHT;
     }
 
-    /// Adds what is known of another instance.
+    /// Adds the failures of another instance.
     pub(super) fn add(&mut self, other: Failures) {
         self.failing += other.failing;
         self.evidence += other.evidence;
     }
 
-    /// The share of failures that one of these is to be expected to have of
-    /// which nothing was seen.
-    pub(super) fn usual(self) -> f64 {
-        self.failing / (self.evidence + SOUND)
+    /// The expected failure rate of an instance without evidence, from the
+    /// sum over its siblings.
+    pub(super) fn expected_rate(self) -> f64 {
+        self.failing / (self.evidence + HEALTHY_PRIOR_WEIGHT)
     }
 
-    /// The share of failures; 0 if nothing was seen.
-    pub(super) fn share(self) -> f64 {
+    /// The failure rate; 0 without evidence.
+    pub(super) fn rate(self) -> f64 {
         match self.evidence > 0.0 {
             true => self.failing / self.evidence,
             false => 0.0,
         }
     }
 
-    /// The share of failures where the usual one stands for what was not
-    /// seen yet.
-    pub(super) fn share_beside(self, usual: f64) -> f64 {
-        self.failing + (1.0 - self.evidence) * usual
+    /// The failure rate, with `prior` in place of missing evidence.
+    pub(super) fn rate_with_prior(self, prior: f64) -> f64 {
+        self.failing + (1.0 - self.evidence) * prior
     }
 
-    /// True if enough was seen to judge by.
+    /// True if there is enough evidence to judge the instance.
     pub(super) fn is_known(self) -> bool {
-        self.evidence >= KNOWN_AT
+        self.evidence >= MIN_EVIDENCE
     }
 }
 
-/// What a node knows of one instance.
+/// The state that a node keeps of one instance.
 #[derive(Debug)]
 pub(super) struct Server {
     pub(super) zone: Zone,
     pub(super) load: Load,
     pub(super) reported: bool,
-    /// Requests that this node has under way there.
-    pub(super) under_way: usize,
-    /// The same, when the last report came.
-    under_way_then: usize,
+    /// Requests that this node has in flight to the instance.
+    pub(super) in_flight: usize,
+    /// The requests in flight when the last report arrived, at most those in
+    /// flight now.
+    in_flight_at_report: usize,
     pub(super) failures: Failures,
     pub(super) down_until: Millis,
 }
@@ -98,60 +94,61 @@
             zone,
             load: Load::default(),
             reported: false,
-            under_way: 0,
-            under_way_then: 0,
+            in_flight: 0,
+            in_flight_at_report: 0,
             failures: Failures::default(),
             down_until: Millis(0),
         }
     }
 
-    /// It tells its load. True if that tells whether it takes work, and it
-    /// was not known or was otherwise.
+    /// Records a load report. Returns true if it changes whether the
+    /// instance accepts work.
     pub(super) fn report(&mut self, load: Load) -> bool {
         let known = self.reported && self.load.accepting;
         let changed = known != load.accepting;
         self.load = load;
         self.reported = true;
-        self.under_way_then = self.under_way;
+        self.in_flight_at_report = self.in_flight;
         changed
     }
 
-    /// A request came back.
+    /// Records that a request ended.
     pub(super) fn done(&mut self, failed: Option<bool>) {
-        self.under_way = self.under_way.saturating_sub(1);
-        self.under_way_then = self.under_way_then.min(self.under_way);
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.in_flight_at_report =
+            self.in_flight_at_report.min(self.in_flight);
         if let Some(failed) = failed {
             self.failures.count(failed);
         }
     }
 
-    /// True if new work may be sent there.
+    /// True if new work may be sent to the instance.
     pub(super) fn is_usable(&self, now: Millis) -> bool {
         self.reported && self.load.accepting && self.down_until <= now
     }
 
-    /// True if a long run of this rank would not end in time.
-    pub(super) fn misses(&self, rank: usize, due: Millis) -> bool {
+    /// True if a long run of this rank would take longer than `time_left`.
+    pub(super) fn may_time_out(&self, rank: usize, time_left: Millis) -> bool {
         let wait = f64::from(self.load.waits[rank]);
-        let takes = f64::from(self.load.takes[rank]);
-        wait + takes * LONG > due.0 as f64
+        let run_time = f64::from(self.load.run_times[rank]);
+        wait + run_time * LONG_RUN_FACTOR > time_left.0 as f64
     }
 
-    /// How long work of a rank takes here, once any has come back.
-    pub(super) fn takes(&self, rank: usize) -> Option<f64> {
-        let takes = self.load.takes[rank];
-        (takes > 0).then_some(f64::from(takes))
+    /// The mean run time of a rank in milliseconds, if known.
+    pub(super) fn run_time(&self, rank: usize) -> Option<f64> {
+        let run_time = self.load.run_times[rank];
+        (run_time > 0).then_some(f64::from(run_time))
     }
 
-    /// The milliseconds until a request of this rank comes back, if it runs
-    /// for so long.
-    pub(super) fn cost(&self, rank: usize, takes: f64) -> f64 {
+    /// The expected latency in milliseconds of a request of this rank with
+    /// this run time.
+    pub(super) fn cost(&self, rank: usize, run_time: f64) -> f64 {
         let load = &self.load;
         let limit = f64::from(load.limit.max(1));
-        let unseen = self.under_way.saturating_sub(self.under_way_then);
+        let unseen = self.in_flight.saturating_sub(self.in_flight_at_report);
         let held = f64::from(load.held) + unseen as f64;
         let over = (held + 1.0 - limit).max(0.0).min(unseen as f64 + 1.0);
-        let wait = f64::from(load.waits[rank]) + over * takes / limit;
-        wait + takes
+        let wait = f64::from(load.waits[rank]) + over * run_time / limit;
+        wait + run_time
     }
 }
--- a/crates/walnutmoor-core/src/bulkhead.rs
+++ b/crates/walnutmoor-core/src/bulkhead.rs
@@ -1,14 +1,12 @@
 /*!
-The bulkhead in front of one instance: what runs, what waits, what is turned
-away.
+The bulkhead in front of one instance: bounds the requests that run on it and
+queues or rejects the rest.
 
-The load pattern: more work arrives than the instance has slots. Some
-instances never answer what they can't queue, and all of them slow down when
-their last slots fill, so no more is handed over than they run well. The rest
-waits here, the most urgent first and among equals the one whose time ends
-first, which is the one that has been refused before. A caller that
-would wait long is told so at once: a late refusal costs it the time
-in which it could have come back.
+Some instances never answer requests that they cannot queue, and all of them
+slow down when their last slots fill, so the bulkhead uses fewer slots than the
+instance reports. Queued work is served by rank, then by earliest deadline,
+which favors requests that were rejected before. Work that would wait too long
+is rejected on arrival, which leaves its caller time to retry elsewhere.
 
 # Example
 
@@ -39,26 +37,26 @@
 
 use crate::{demand::Demand, digest::Map, id::CallId, time::Millis};
 
-/// What an instance says of its load.
+/// The load that an instance reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Occupancy {
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait inside the instance.
+    /// Requests that are queued inside the instance.
     pub waiting: u32,
-    /// Requests that it can run at a time.
+    /// Requests that the instance can run concurrently.
     pub slots: u32,
 }
 
-/// Ranks that are told apart; [`urgency`] gives them.
+/// The number of ranks that [`urgency`] assigns.
 pub const RANKS: usize = 4;
 
-/// The rank of work: that of the whole request, so that a call deep in the
-/// graph is as urgent as the caller's request that it serves.
+/// The rank of a request, where 0 is the most urgent.
 ///
-/// Among the least urgent requests the calls of those that have begun go
-/// before new ones: refusing them wastes all that was done above. New ones
-/// that take little go beside those calls.
+/// A call deep in the graph has the rank of the caller's request that it
+/// serves. Among the least urgent, preferred work ranks higher: calls of
+/// requests that have already started, since rejecting those wastes the work
+/// done above, and new requests that cost little.
 pub fn urgency(priority: u8, preferred: bool) -> u8 {
     match (priority, preferred) {
         (0 | 1, _) => priority,
@@ -67,9 +65,11 @@
     }
 }
 
-/// The rank of work of an account that has a priority of its own, where that
-/// goes before what its route says: the first accounts' work is never behind
-/// that of others, and within an account the order of routes stays.
+/// The rank of a request from an account with its own priority, which limits
+/// the rank that its route would give it.
+///
+/// Work of accounts of priority 0 has rank 0 or 1, and work of other accounts
+/// has rank 1 at best. Within an account the order of routes is kept.
 pub fn account_urgency(account: u8, urgency: u8) -> u8 {
     match account {
         0 => urgency.min(1),
@@ -77,79 +77,78 @@
     }
 }
 
-/// The first ranks, which are those of the requests that matter most.
-pub(crate) const URGENT: usize = 2;
+/// The number of ranks that are urgent; these are the first ones.
+pub(crate) const URGENT_RANKS: usize = 2;
 
-/// The part of an instance's slots that is used. Instances slow down by a
-/// third in their last twentieth, which costs more than the slots bring.
-const USED: f64 = 0.95;
+/// The fraction of an instance's slots that is used. Instances slow down
+/// considerably when their last slots fill.
+const USABLE_SLOT_SHARE: f64 = 0.95;
 
-/// The part of the slots that each less urgent rank keeps while it has work
-/// waiting, so that no class starves behind another.
-const RESERVE: f64 = 0.15;
+/// The fraction of the slots reserved for each less urgent rank that has work
+/// queued, so that no rank starves.
+const RESERVE_SHARE: f64 = 0.15;
 
-/// The part of an instance that is left beside so many reserves.
-pub(crate) fn room(reserves: usize) -> f64 {
-    1.0 - RESERVE * reserves as f64
+/// The fraction of an instance that is left after this many reserves.
+pub(crate) fn unreserved_share(reserves: usize) -> f64 {
+    1.0 - RESERVE_SHARE * reserves as f64
 }
 
-/// What part of its target a request may wait, by rank. The least urgent is
-/// refused within an eighth, in time to come back; the most urgent are worth a
-/// longer wait. Calls of the others wait little more than the least urgent: a
-/// request that makes eight of them in a row has no time for eight waits, and
-/// one that is turned away here goes on to an instance that stands idle.
-const PATIENCE: [f64; RANKS] = [0.5, 0.5, 0.15, 0.125];
+/// The fraction of its target latency that a request may be queued, by rank.
+///
+/// Less urgent requests are rejected early enough to be retried elsewhere. A
+/// request that makes many calls in a row has little time to wait for each.
+const MAX_WAIT_SHARE: [f64; RANKS] = [0.5, 0.5, 0.15, 0.125];
 
-/// How long urgent work that was turned away counts as recent.
-const PRESSED: Millis = Millis(1_000);
+/// How long a rejection counts as recent.
+const SHEDDING_WINDOW: Millis = Millis(1_000);
 
-/// Urgent work that is turned away within [`PRESSED`] at the least, for the
-/// instance to count as pressed; single refusals happen in calm times.
-const PRESSED_MIN: usize = 3;
+/// The rejections within [`SHEDDING_WINDOW`] from which an instance counts as
+/// shedding. Single rejections also happen under low load.
+const MIN_SHEDDING_REJECTIONS: usize = 3;
 
-/// How fast the mean of run times follows: half of it is forgotten after
-/// some 14 runs.
-const MEAN_STEP: f64 = 0.05;
+/// The weight of one run in the moving average of run times.
+const RUN_TIME_WEIGHT: f64 = 0.05;
 
-/// Work that asks for a slot.
+/// A request for a slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Work {
-    /// Its number.
+    /// Identifies the work.
     pub id: CallId,
-    /// Its rank; 0 is the most urgent.
+    /// The rank; 0 is the most urgent.
     pub priority: u8,
-    /// The time within which its answer is worth most.
+    /// The target latency.
     pub target: Millis,
-    /// When nobody waits for it any more.
+    /// When the caller stops waiting.
     pub deadline: Millis,
-    /// True if another instance has turned it away: its demand was counted.
+    /// True if another instance has rejected it, so that its demand is
+    /// already counted.
     pub moved: bool,
 }
 
-/// What becomes of work that was offered.
+/// The outcome of [`Bulkhead::offer`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Offer {
-    /// Hand it to the instance now.
+    /// Send the work to the instance now.
     Run,
-    /// It waits.
+    /// The work is queued.
     Wait,
-    /// Turn it away: it would wait too long.
+    /// The work is rejected because it would wait too long.
     Full {
-        /// When there may be room.
-        retry: Millis,
+        /// The estimated time until a slot is free.
+        retry_after: Millis,
     },
-    /// Turn it away: the instance takes no work.
+    /// The work is rejected because the instance accepts no work.
     Closed,
 }
 
-/// What is to be done with waiting work.
+/// An action for queued work, from [`Bulkhead::next`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Next {
-    /// Hand it to the instance.
+    /// Send the work to the instance.
     Run(CallId),
-    /// Turn it away.
+    /// Reject the work; the span is the estimated time until a slot is free.
     Full(CallId, Millis),
-    /// Turn it away: the instance takes no work any more.
+    /// Reject the work because the instance no longer accepts any.
     Closed(CallId),
 }
 
@@ -166,25 +165,26 @@
     since: Millis,
 }
 
-type Place = (usize, Millis, u64);
+/// The order of the queue: rank, deadline and order of arrival.
+type QueueKey = (usize, Millis, u64);
 
-/// The state of the bulkhead.
+/// The slots and the queue of one instance.
 #[derive(Debug)]
 pub struct Bulkhead {
     open: bool,
     limit: usize,
     running: Map<CallId, Running>,
-    per_rank: [usize; RANKS],
-    queue: BTreeMap<Place, Waiting>,
-    places: Map<CallId, Place>,
-    queued: [usize; RANKS],
-    takes: [f64; RANKS],
+    running_by_rank: [usize; RANKS],
+    queue: BTreeMap<QueueKey, Waiting>,
+    keys: Map<CallId, QueueKey>,
+    queued_by_rank: [usize; RANKS],
+    run_times: [f64; RANKS],
     arrivals: u64,
-    /// When the last few urgent ones were turned away.
-    turned_away: VecDeque<Millis>,
+    /// Times of the latest rejections of work above the least urgent rank.
+    rejections: VecDeque<Millis>,
     demand: Demand,
     urgent: Demand,
-    direct: Demand,
+    least_urgent: Demand,
 }
 
 impl Default for Bulkhead {
@@ -194,110 +194,110 @@
 }
 
 impl Bulkhead {
-    /// A bulkhead that takes nothing yet.
+    /// Creates a closed bulkhead.
     pub fn new() -> Bulkhead {
         Bulkhead {
             open: false,
             limit: 0,
             running: Map::default(),
-            per_rank: [0; RANKS],
+            running_by_rank: [0; RANKS],
             queue: BTreeMap::new(),
-            places: Map::default(),
-            queued: [0; RANKS],
-            takes: [0.0; RANKS],
+            keys: Map::default(),
+            queued_by_rank: [0; RANKS],
+            run_times: [0.0; RANKS],
             arrivals: 0,
-            turned_away: VecDeque::new(),
+            rejections: VecDeque::new(),
             demand: Demand::new(),
             urgent: Demand::new(),
-            direct: Demand::new(),
+            least_urgent: Demand::new(),
         }
     }
 
-    /// The instance takes work, in this many slots.
+    /// Accepts work for an instance with this many slots.
     pub fn open(&mut self, slots: u32) {
         self.open = true;
-        self.limit = ((f64::from(slots) * USED) as usize).max(1);
+        self.limit = ((f64::from(slots) * USABLE_SLOT_SHARE) as usize).max(1);
     }
 
-    /// The instance takes no new work; what runs is finished.
+    /// Accepts no new work. Running work is not affected.
     pub fn close(&mut self) {
         self.open = false;
     }
 
-    /// True if the instance takes work.
+    /// True if new work is accepted.
     pub fn is_open(&self) -> bool {
         self.open
     }
 
-    /// Work that runs.
+    /// The number of running requests.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Work that waits.
+    /// The number of queued requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Takes work, lets it wait or turns it away.
+    /// Starts, queues or rejects new work.
     pub fn offer(&mut self, now: Millis, work: Work) -> Offer {
         if !self.open {
             return Offer::Closed;
         }
         let rank = rank(work.priority);
         if !work.moved {
-            self.count(now, rank);
+            self.record_demand(now, rank);
         }
         if self.queue.is_empty() && self.running.len() < self.limit {
             self.start(now, work.id, rank);
             return Offer::Run;
         }
         self.arrivals += 1;
-        let place = (rank, work.deadline, self.arrivals);
-        let wait = self.wait_at(place);
-        let patience = patience(rank, work.target);
+        let key = (rank, work.deadline, self.arrivals);
+        let wait = self.wait_at(key);
+        let max_wait = max_wait(rank, work.target);
         let left = work.deadline.since(now);
-        let takes = Millis(self.takes[rank] as u64);
-        if wait > patience || wait + takes > left {
-            self.turned_away(now, work.priority);
-            return Offer::Full { retry: wait };
+        let run_time = Millis(self.run_times[rank] as u64);
+        if wait > max_wait || wait + run_time > left {
+            self.record_rejection(now, work.priority);
+            return Offer::Full { retry_after: wait };
         }
         let waiting = Waiting { id: work.id, since: now, target: work.target };
-        self.queue.insert(place, waiting);
-        self.places.insert(work.id, place);
-        self.queued[rank] += 1;
+        self.queue.insert(key, waiting);
+        self.keys.insert(work.id, key);
+        self.queued_by_rank[rank] += 1;
         Offer::Wait
     }
 
-    /// Work has left the instance. Its run time counts only if the instance
-    /// answered.
+    /// Releases the slot of finished work. Its run time counts only if the
+    /// instance answered.
     pub fn finish(&mut self, now: Millis, id: CallId, answered: bool) {
         let Some(run) = self.running.remove(&id) else {
             return;
         };
-        self.per_rank[run.rank] -= 1;
+        self.running_by_rank[run.rank] -= 1;
         if !answered {
             return;
         }
         let took = now.since(run.since).0 as f64;
-        let mean = &mut self.takes[run.rank];
+        let mean = &mut self.run_times[run.rank];
         *mean = match *mean == 0.0 {
             true => took,
-            false => *mean + (took - *mean) * MEAN_STEP,
+            false => *mean + (took - *mean) * RUN_TIME_WEIGHT,
         };
     }
 
-    /// Work that waits is no longer wanted. False if it does not wait.
+    /// Removes queued work. Returns false if it is not queued.
     pub fn cancel(&mut self, id: CallId) -> bool {
-        let Some(place) = self.places.remove(&id) else {
+        let Some(key) = self.keys.remove(&id) else {
             return false;
         };
-        self.queue.remove(&place);
-        self.queued[place.0] -= 1;
+        self.queue.remove(&key);
+        self.queued_by_rank[key.0] -= 1;
         true
     }
 
-    /// The next thing to do with waiting work, until there is none.
+    /// The next action for queued work, or `None` if there is none for now.
     pub fn next(&mut self, now: Millis) -> Option<Next> {
         if !self.open {
             let (_, waiting) = self.queue.pop_first()?;
@@ -313,7 +313,7 @@
         if self.running.len() >= self.limit {
             return None;
         }
-        let rank = self.turn()?;
+        let rank = self.next_rank()?;
         let from = (rank, Millis(0), 0);
         let (_, waiting) = self.queue.range(from..).next()?;
         let id = waiting.id;
@@ -322,170 +322,187 @@
         Some(Next::Run(id))
     }
 
-    /// Work was turned away.
-    fn turned_away(&mut self, now: Millis, priority: u8) {
-        // The least urgent is turned away first and tells nothing of the
-        // calls that other work depends on.
+    /// Records a rejection of work above the least urgent rank.
+    fn record_rejection(&mut self, now: Millis, priority: u8) {
+        // The least urgent rank is rejected first, which says nothing about
+        // the calls that other work depends on.
         if rank(priority) == RANKS - 1 {
             return;
         }
-        if self.turned_away.len() == PRESSED_MIN {
-            self.turned_away.pop_front();
+        if self.rejections.len() == MIN_SHEDDING_REJECTIONS {
+            self.rejections.pop_front();
         }
-        self.turned_away.push_back(now);
+        self.rejections.push_back(now);
     }
 
-    /// Counts the demand of work that is offered for the first time.
-    fn count(&mut self, now: Millis, rank: usize) {
-        let takes = self.takes[rank];
+    /// Records the demand of work that is offered for the first time.
+    fn record_demand(&mut self, now: Millis, rank: usize) {
+        let run_time = self.run_times[rank];
         match rank < RANKS - 1 {
-            true => self.demand.add(now, takes),
-            false => self.direct.add(now, takes),
+            true => self.demand.add(now, run_time),
+            false => self.least_urgent.add(now, run_time),
         }
-        if rank < URGENT {
-            self.urgent.add(now, takes);
+        if rank < URGENT_RANKS {
+            self.urgent.add(now, run_time);
         }
     }
 
-    /// Work that is asked for, as a part of what can be done beside so many
-    /// reserves.
-    fn part(&self, now: Millis, demand: &Demand, reserves: usize) -> f64 {
-        let room = self.limit as f64 * room(reserves);
-        demand.slots(now) / room.max(1.0)
+    /// The demand relative to the capacity left after this many reserves.
+    fn demand_ratio(
+        &self,
+        now: Millis,
+        demand: &Demand,
+        reserves: usize,
+    ) -> f64 {
+        let capacity = self.limit as f64 * unreserved_share(reserves);
+        demand.slots(now) / capacity.max(1.0)
     }
 
-    fn is_pressed(&self, now: Millis) -> bool {
-        let oldest = self.turned_away.front();
-        self.turned_away.len() == PRESSED_MIN
-            && oldest.is_some_and(|at| now.since(*at) <= PRESSED)
+    /// True if work above the least urgent rank was rejected repeatedly within
+    /// [`SHEDDING_WINDOW`].
+    fn is_shedding(&self, now: Millis) -> bool {
+        let oldest = self.rejections.front();
+        self.rejections.len() == MIN_SHEDDING_REJECTIONS
+            && oldest.is_some_and(|at| now.since(*at) <= SHEDDING_WINDOW)
     }
 
-    /// What other nodes are to know.
+    /// The load to report to other nodes.
     pub fn load(&self, now: Millis) -> Load {
-        let short = |value: f64| value.min(f64::from(u16::MAX)) as u16;
+        let saturate = |value: f64| value.min(f64::from(u16::MAX)) as u16;
         let mut load = Load {
             accepting: self.open,
-            limit: short(self.limit as f64),
-            held: short((self.running.len() + self.queue.len()) as f64),
-            pressed: self.is_pressed(now),
-            demand: short(self.part(now, &self.demand, 1) * 1_000.0),
-            urgent: short(self.part(now, &self.urgent, 2) * 1_000.0),
-            direct: short(self.part(now, &self.direct, 0) * 1_000.0),
+            limit: saturate(self.limit as f64),
+            held: saturate((self.running.len() + self.queue.len()) as f64),
+            shedding: self.is_shedding(now),
+            demand: saturate(
+                self.demand_ratio(now, &self.demand, 1) * 1_000.0,
+            ),
+            urgent: saturate(
+                self.demand_ratio(now, &self.urgent, 2) * 1_000.0,
+            ),
+            least_urgent: saturate(
+                self.demand_ratio(now, &self.least_urgent, 0) * 1_000.0,
+            ),
             ..Load::default()
         };
         for rank in 0..RANKS {
-            load.waits[rank] = short(self.wait(rank).0 as f64);
-            load.takes[rank] = short(self.takes[rank]);
+            load.waits[rank] = saturate(self.wait(rank).0 as f64);
+            load.run_times[rank] = saturate(self.run_times[rank]);
         }
         load
     }
 
+    /// Drops the bookkeeping of work taken from the queue.
     fn forget(&mut self, id: CallId) {
-        if let Some(place) = self.places.remove(&id) {
-            self.queued[place.0] -= 1;
+        if let Some(key) = self.keys.remove(&id) {
+            self.queued_by_rank[key.0] -= 1;
         }
     }
 
     fn start(&mut self, now: Millis, id: CallId, rank: usize) {
         self.running.insert(id, Running { rank, since: now });
-        self.per_rank[rank] += 1;
+        self.running_by_rank[rank] += 1;
     }
 
-    /// The first entry of a rank that has waited longer than it may. Only
-    /// the first of each rank is looked at: it is the one with least time.
+    /// Rejects queued work that waited too long or cannot finish in time.
+    ///
+    /// Looks only at the first entry of each rank, which has the earliest
+    /// deadline.
     fn overdue(&mut self, now: Millis) -> Option<Next> {
         for rank in 0..RANKS {
             let from = (rank, Millis(0), 0);
             let to = (rank + 1, Millis(0), 0);
             let first = self.queue.range(from..to).next();
-            let Some((place, waiting)) = first else {
+            let Some((key, waiting)) = first else {
                 continue;
             };
             let waited = now.since(waiting.since);
-            let over = waited > patience(rank, waiting.target);
-            // Its answer would come too late, and whoever waits for it is
-            // better told now than at its timeout.
-            let takes = Millis(self.takes[rank] as u64);
-            if over || place.1 <= now + takes {
+            let over = waited > max_wait(rank, waiting.target);
+            // Reject work that would miss its deadline now rather than let its
+            // caller time out.
+            let run_time = Millis(self.run_times[rank] as u64);
+            if over || key.1 <= now + run_time {
                 let id = waiting.id;
                 self.cancel(id);
-                self.turned_away(now, rank as u8);
+                self.record_rejection(now, rank as u8);
                 return Some(Next::Full(id, self.wait(rank)));
             }
         }
         None
     }
 
-    /// The last entry of a rank, if those that came before it since make it
-    /// wait longer than it may.
+    /// Rejects the last entry of a rank if entries queued ahead of it since
+    /// would make it wait too long.
     ///
-    /// It is the one with most time left: that of a request which has made
-    /// the fewest calls so far, so the least is lost with it.
+    /// The last entry has the latest deadline, so its request has usually
+    /// made the fewest calls and the least work is lost.
     fn displaced(&mut self, now: Millis) -> Option<Next> {
         for rank in 0..RANKS {
             let from = (rank, Millis(0), 0);
             let to = (rank + 1, Millis(0), 0);
             let last = self.queue.range(from..to).next_back();
-            let Some((&place, &waiting)) = last else {
+            let Some((&key, &waiting)) = last else {
                 continue;
             };
-            let wait = self.wait_at(place);
-            if wait > patience(rank, waiting.target) {
+            let wait = self.wait_at(key);
+            if wait > max_wait(rank, waiting.target) {
                 self.cancel(waiting.id);
-                self.turned_away(now, rank as u8);
+                self.record_rejection(now, rank as u8);
                 return Some(Next::Full(waiting.id, wait));
             }
         }
         None
     }
 
-    /// The rank that is served next: the most urgent one, unless a less
-    /// urgent one that waits holds less than its reserve.
-    fn turn(&self) -> Option<usize> {
+    /// The rank to serve next: the most urgent with queued work, unless a less
+    /// urgent one uses less than its reserve.
+    fn next_rank(&self) -> Option<usize> {
         let reserve = self.reserve();
-        let urgent = self.queued.iter().position(|count| *count > 0)?;
-        let starved = (urgent + 1..RANKS)
-            .rev()
-            .find(|r| self.queued[*r] > 0 && self.per_rank[*r] < reserve);
+        let urgent =
+            self.queued_by_rank.iter().position(|count| *count > 0)?;
+        let starved = (urgent + 1..RANKS).rev().find(|r| {
+            self.queued_by_rank[*r] > 0 && self.running_by_rank[*r] < reserve
+        });
         Some(starved.unwrap_or(urgent))
     }
 
-    /// How long new work of a rank would wait: behind all that is at least
-    /// as urgent.
+    /// How long new work of a rank would be queued, behind all work that is
+    /// at least as urgent.
     fn wait(&self, rank: usize) -> Millis {
-        self.wait_behind(rank, self.queued[rank])
+        self.wait_behind(rank, self.queued_by_rank[rank])
     }
 
-    /// How long work waits at a place in the queue.
-    fn wait_at(&self, place: Place) -> Millis {
-        let from = (place.0, Millis(0), 0);
-        let ahead = self.queue.range(from..place).count();
-        self.wait_behind(place.0, ahead)
+    /// How long the work with this key is queued.
+    fn wait_at(&self, key: QueueKey) -> Millis {
+        let from = (key.0, Millis(0), 0);
+        let ahead = self.queue.range(from..key).count();
+        self.wait_behind(key.0, ahead)
     }
 
-    /// How long work of a rank waits behind so many of its own rank and all
-    /// more urgent, in the slots that more urgent work leaves.
+    /// How long work of a rank is queued behind `own` entries of its rank and
+    /// all more urgent entries, in the slots that more urgent work leaves.
     ///
-    /// The reserve is not reckoned with: work that counts on it would be let
-    /// in to the queue and take slots from the calls of more urgent work.
+    /// Does not assume that the rank gets its reserve: work admitted on that
+    /// assumption would take slots from calls of more urgent work.
     fn wait_behind(&self, rank: usize, own: usize) -> Millis {
         let free = self.limit.saturating_sub(self.running.len());
-        let above = &self.queued[..rank];
+        let above = &self.queued_by_rank[..rank];
         if above.iter().sum::<usize>() + own < free {
             return Millis(0);
         }
-        let mut work = self.takes[rank] * (own as f64 + 1.0);
-        for (count, takes) in above.iter().zip(&self.takes) {
-            work += *count as f64 * takes;
+        let mut work = self.run_times[rank] * (own as f64 + 1.0);
+        for (count, run_time) in above.iter().zip(&self.run_times) {
+            work += *count as f64 * run_time;
         }
-        let taken: usize = self.per_rank[..rank].iter().sum();
+        let taken: usize = self.running_by_rank[..rank].iter().sum();
         let left = self.limit.saturating_sub(taken);
         let slots = left.max(self.reserve()).max(1);
         Millis((work / slots as f64) as u64)
     }
 
+    /// The slots reserved for each less urgent rank.
     fn reserve(&self) -> usize {
-        (self.limit as f64 * RESERVE) as usize
+        (self.limit as f64 * RESERVE_SHARE) as usize
     }
 }
 
@@ -493,6 +510,6 @@
     usize::from(priority).min(RANKS - 1)
 }
 
-fn patience(rank: usize, target: Millis) -> Millis {
-    Millis((target.0 as f64 * PATIENCE[rank]) as u64)
+fn max_wait(rank: usize, target: Millis) -> Millis {
+    Millis((target.0 as f64 * MAX_WAIT_SHARE[rank]) as u64)
 }
--- a/crates/walnutmoor-core/src/bulkhead/load.rs
+++ b/crates/walnutmoor-core/src/bulkhead/load.rs
@@ -1,33 +1,36 @@
 /*!
-What other nodes are told of an instance.
+The load report that a node sends to other nodes.
 */
 
 use serde::{Deserialize, Serialize};
 
 use super::RANKS;
 
-/// What other nodes are told of an instance.
+/// The load of an instance, as its node reports it to other nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Load {
-    /// True if it takes new work.
+    /// True if the instance accepts new work.
     pub accepting: bool,
-    /// The wait that new work of each rank would find.
+    /// The estimated queueing time of new work by rank, in milliseconds.
     pub waits: [u16; RANKS],
-    /// How long work of each rank takes, once it runs.
-    pub takes: [u16; RANKS],
-    /// Slots that are used.
+    /// The mean run time by rank, in milliseconds; 0 if none is known.
+    #[serde(rename = "takes")]
+    pub run_times: [u16; RANKS],
+    /// The number of slots in use at full load.
     pub limit: u16,
-    /// Work that runs or waits.
+    /// The number of requests that run or are queued.
     pub held: u16,
-    /// True if urgent work was turned away lately.
-    pub pressed: bool,
-    /// Urgent work that is asked for, in thousandths of what the instance
-    /// can do beside the reserve of the least urgent.
+    /// True if work above the least urgent rank was rejected repeatedly in the
+    /// last moments.
+    #[serde(rename = "pressed")]
+    pub shedding: bool,
+    /// The demand of all but the least urgent rank, in thousandths of the
+    /// capacity that the reserve of the least urgent rank leaves.
     pub demand: u16,
-    /// The same for the ranks that are those of requests that matter most,
-    /// beside the reserves of the other two.
+    /// The demand of the urgent ranks, in thousandths of the capacity that
+    /// the reserves of the other two ranks leave.
     pub urgent: u16,
-    /// Work of the least urgent that is asked for, in thousandths of all that
-    /// the instance can do.
-    pub direct: u16,
+    /// The demand of the least urgent rank, in thousandths of the capacity.
+    #[serde(rename = "direct")]
+    pub least_urgent: u16,
 }
--- a/crates/walnutmoor-core/src/chart.rs
+++ b/crates/walnutmoor-core/src/chart.rs
@@ -1,11 +1,11 @@
 /*!
-State charts that the code interprets.
+Finite state machines defined by chart files.
 
-A chart is a YAML file with a name, an initial state and a list of
-transitions. The states and triggers of a chart are closed enums in the code;
-a chart that names another, leaves one out or has two answers for the same
-state and trigger does not load. Code asks the chart for the next state and
-never names one itself.
+A chart is a YAML file with a name, an initial state and a list of transitions.
+The states and triggers of a chart are closed enums in the code. A chart that
+uses an unknown name, never enters a state or has two transitions for the same
+state and trigger is rejected. Code takes the next state from the chart and
+does not hard-code transitions.
 
 # Example
 
@@ -13,15 +13,15 @@
 use walnutmoor_core::chart::{Chart, symbols};
 
 symbols! {
-    /// A lamp.
+    /// The state of a lamp.
     pub enum Lamp { On = "on", Off = "off" }
 }
 symbols! {
-    /// A hand.
-    pub enum Hand { Press = "press" }
+    /// An action on a lamp.
+    pub enum Action { Press = "press" }
 }
 
-let chart: Chart<Lamp, Hand> = Chart::parse("
+let chart: Chart<Lamp, Action> = Chart::parse("
 name: lamp
 initial: off
 transitions:
@@ -29,7 +29,7 @@
   - { from: on, on: press, to: off }
 ").unwrap();
 assert_eq!(chart.initial(), Lamp::Off);
-assert_eq!(chart.next(Lamp::Off, Hand::Press), Some(Lamp::On));
+assert_eq!(chart.next(Lamp::Off, Action::Press), Some(Lamp::On));
 ```
 */
 
@@ -37,9 +37,9 @@
 
 use serde::Deserialize;
 
-/// A closed set of states or triggers, named as in the chart files.
+/// A closed set of states or triggers, with the names used in chart files.
 pub trait Symbol: Copy + Eq + 'static {
-    /// Every symbol with its name.
+    /// All symbols with their names.
     const ALL: &'static [(Self, &'static str)];
 
     /// The name of this symbol.
@@ -48,7 +48,7 @@
         found.map_or("", |(_, name)| name)
     }
 
-    /// The symbol of this name.
+    /// The symbol with this name, if any.
     fn find(name: &str) -> Option<Self> {
         let found = Self::ALL.iter().find(|(_, known)| *known == name);
         found.map(|(symbol, _)| *symbol)
@@ -61,26 +61,26 @@
     (
         $(#[$doc:meta])*
         pub enum $name:ident {
-            $($(#[$inner:meta])* $var:ident = $text:literal),* $(,)?
+            $($(#[$inner:meta])* $variant:ident = $text:literal),* $(,)?
         }
     ) => {
         $(#[$doc])*
         #[allow(missing_docs)]
         #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
         pub enum $name {
-            $($(#[$inner])* $var,)*
+            $($(#[$inner])* $variant,)*
         }
 
         impl $crate::chart::Symbol for $name {
             const ALL: &'static [(Self, &'static str)] =
-                &[$(($name::$var, $text),)*];
+                &[$(($name::$variant, $text),)*];
         }
     };
 }
 
 pub use symbols;
 
-/// A chart that does not load.
+/// A chart that is not valid.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("chart: {0}")]
 pub struct Error(String);
@@ -101,75 +101,85 @@
     to: String,
 }
 
-/// A state chart: from a state and a trigger to the next state.
+/// A state chart, which maps a state and a trigger to the next state.
 #[derive(Clone, Debug)]
 pub struct Chart<S, T> {
     name: String,
     initial: S,
-    rows: Vec<(S, T, S)>,
+    transitions: Vec<(S, T, S)>,
     marker: PhantomData<T>,
 }
 
 impl<S: Symbol, T: Symbol> Chart<S, T> {
-    /// Reads a chart.
+    /// Parses a chart.
     ///
     /// # Errors
     ///
-    /// If the YAML is malformed, if a name is not in the closed set, if a
-    /// state cannot be reached or two rows give the same state and trigger.
+    /// If the YAML is malformed, a name is unknown, a state is never entered
+    /// or two transitions have the same state and trigger.
     pub fn parse(yaml: &str) -> Result<Chart<S, T>, Error> {
         let file: File = serde_saphyr::from_str(yaml)
             .map_err(|error| Error(error.to_string()))?;
-        let mut rows: Vec<(S, T, S)> = Vec::new();
+        let mut transitions: Vec<(S, T, S)> = Vec::new();
         for row in &file.transitions {
             let from = lookup::<S>("state", &row.from)?;
             let on = lookup::<T>("trigger", &row.on)?;
             let to = lookup::<S>("state", &row.to)?;
-            if rows.iter().any(|(f, t, _)| (*f, *t) == (from, on)) {
-                let text = format!("{} on {} twice", row.from, row.on);
+            if transitions.iter().any(|(f, t, _)| (*f, *t) == (from, on)) {
+                let text = format!(
+                    "duplicate transition from `{}` on `{}`",
+                    row.from, row.on
+                );
                 return Err(Error(text));
             }
-            rows.push((from, on, to));
+            transitions.push((from, on, to));
         }
         let initial = lookup::<S>("state", &file.initial)?;
-        let chart =
-            Chart { name: file.name, initial, rows, marker: PhantomData };
+        let chart = Chart {
+            name: file.name,
+            initial,
+            transitions,
+            marker: PhantomData,
+        };
         chart.check()?;
         Ok(chart)
     }
 
+    /// Checks that every state but the initial one is entered.
     fn check(&self) -> Result<(), Error> {
         for (state, name) in S::ALL {
-            let entered = self.rows.iter().any(|(_, _, to)| to == state);
+            let entered =
+                self.transitions.iter().any(|(_, _, to)| to == state);
             if *state != self.initial && !entered {
-                return Err(Error(format!("{name} is never entered")));
+                return Err(Error(format!("state `{name}` is never entered")));
             }
         }
         Ok(())
     }
 
-    /// The chart's name.
+    /// The name of the chart.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The state in which everything starts.
+    /// The initial state.
     pub fn initial(&self) -> S {
         self.initial
     }
 
-    /// The state after a trigger, or `None` if the chart has no such row.
+    /// The state after a trigger, or `None` if the chart has no such
+    /// transition.
     pub fn next(&self, state: S, trigger: T) -> Option<S> {
-        let mut rows = self.rows.iter();
-        let row = rows.find(|(f, t, _)| (*f, *t) == (state, trigger));
+        let mut transitions = self.transitions.iter();
+        let row = transitions.find(|(f, t, _)| (*f, *t) == (state, trigger));
         row.map(|(_, _, to)| *to)
     }
 
-    /// The rows as text, one transition a line.
+    /// The transitions as text, one per line.
     pub fn table(&self) -> String {
         let mut text =
             format!("{} starts {}\n", self.name, self.initial.name());
-        for (from, on, to) in &self.rows {
+        for (from, on, to) in &self.transitions {
             let (from, on, to) = (from.name(), on.name(), to.name());
             text.push_str(&format!("  {from} --{on}--> {to}\n"));
         }
@@ -178,5 +188,5 @@
 }
 
 fn lookup<S: Symbol>(what: &str, name: &str) -> Result<S, Error> {
-    S::find(name).ok_or_else(|| Error(format!("no {what} `{name}`")))
+    S::find(name).ok_or_else(|| Error(format!("unknown {what} `{name}`")))
 }
--- a/crates/walnutmoor-core/src/id.rs
+++ b/crates/walnutmoor-core/src/id.rs
@@ -1,9 +1,9 @@
 /*!
-Names and numbers that tell things apart.
+Identifiers and names.
 
-Every id is a newtype with `Display` and `FromStr`. Names that people choose
-are short, bounded and made of `a-z`, `0-9`, `-`, `_` and `.`, so that they
-can stand in a path, a header and a metric label as they are.
+Every id is a newtype with `Display` and `FromStr`. Names chosen by people are
+short and consist of `a-z`, `0-9`, `-`, `_` and `.`, so that they need no
+escaping in paths, headers and metric labels.
 
 # Example
 
@@ -19,10 +19,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The longest name, in bytes.
-pub const NAME_MAX: usize = 64;
+/// The maximum length of a name, in bytes.
+pub const MAX_NAME_BYTES: usize = 64;
 
-/// An id or a name that does not have the right form.
+/// An id or a name that is not valid.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("`{text}` is not a valid {what}")]
 pub struct ParseError {
@@ -32,7 +32,7 @@
 
 impl ParseError {
     pub(crate) fn new(what: &'static str, text: &str) -> ParseError {
-        let text = text.chars().take(NAME_MAX).collect();
+        let text = text.chars().take(MAX_NAME_BYTES).collect();
         ParseError { what, text }
     }
 }
@@ -41,19 +41,20 @@
     let legal = |b: u8| {
         b.is_ascii_lowercase() || b.is_ascii_digit() || b"-_.".contains(&b)
     };
-    !text.is_empty() && text.len() <= NAME_MAX && text.bytes().all(legal)
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(legal)
 }
 
 fn is_token(text: &str) -> bool {
     let len = text.len();
-    (1..=NAME_MAX).contains(&len) && text.bytes().all(|b| b.is_ascii_graphic())
+    (1..=MAX_NAME_BYTES).contains(&len)
+        && text.bytes().all(|b| b.is_ascii_graphic())
 }
 
 fn is_label(text: &str) -> bool {
     let legal = |b: u8| b.is_ascii_graphic() || b == b' ';
     let len = text.len();
     let trimmed = text.trim_ascii().len() == len;
-    (1..=NAME_MAX).contains(&len) && trimmed && text.bytes().all(legal)
+    (1..=MAX_NAME_BYTES).contains(&len) && trimmed && text.bytes().all(legal)
 }
 
 macro_rules! name {
@@ -108,7 +109,7 @@
 }
 
 name! {
-    /// The name of a service: what backend servers of one kind offer.
+    /// The name of a service, which backend servers of one kind provide.
     Service, "service name", is_name
 }
 name! {
@@ -120,18 +121,17 @@
     Class, "class name", is_name
 }
 name! {
-    /// The name of a client account, as the operator writes it: printable
-    /// ASCII with blanks inside, which can stand in a header.
+    /// The name of a client account: printable ASCII, with spaces inside.
     Account, "account name", is_label
 }
 name! {
-    /// A caller's id for one whole request, the same on every attempt.
+    /// A caller's id of a whole request, the same for every attempt.
     ///
-    /// Any printable ASCII without blanks, at most [`NAME_MAX`] bytes.
+    /// Printable ASCII without spaces, at most [`MAX_NAME_BYTES`] bytes.
     Request, "request id", is_token
 }
 name! {
-    /// The id of one change of configuration, chosen by who proposes it.
+    /// The id of a configuration change, chosen by its proposer.
     Change, "change id", is_token
 }
 
@@ -163,31 +163,33 @@
 }
 
 number! {
-    /// One leg of a call inside one node. Never leaves the node, but for the
-    /// token that its own backend server hands back with deeper calls.
+    /// Identifies a call within one node. It never leaves the node, except in
+    /// the token that its own backend server returns with deeper calls.
     CallId, "call id"
 }
 number! {
-    /// One life of a node. A restart on the same address draws another.
+    /// Identifies one run of a node. A restart on the same address gets
+    /// another.
     Incarnation, "incarnation"
 }
 number! {
-    /// The number of the configuration in force; one more for each change.
+    /// The number of the configuration in force; it grows by one with each
+    /// change.
     Revision, "revision"
 }
 
 number! {
-    /// How often the store has come back from an older copy of itself; 0
-    /// where it does not tell.
+    /// The number of times that the store was restored from an older copy; 0
+    /// if the store does not report it.
     Era, "store era"
 }
 number! {
-    /// The operator's own number of a desired state; grows with each change,
-    /// also over a store that comes back from an older copy.
+    /// The operator's version of the desired state. It grows with each change,
+    /// even when the store is restored from an older copy.
     Version, "version"
 }
 
-/// A node, named by the IP address and port on which peers reach it.
+/// A node, identified by the IP address and port on which peers reach it.
 #[derive(
     Clone,
     Copy,
--- a/crates/walnutmoor-core/src/lib.rs
+++ b/crates/walnutmoor-core/src/lib.rs
@@ -1,13 +1,13 @@
 /*!
 Overload control decisions for service call graphs.
 
-This crate holds every decision that walnutmoor makes and nothing else: no
-sockets, no clocks, no threads and no global state. Events and a time go in,
-actions come out, and all randomness is drawn from a seed, so that a session
-can be recorded, replayed and driven by a foreign program.
+This crate makes all decisions of walnutmoor and performs no IO: it has no
+sockets, clocks, threads or global state. It takes events with the current time
+and returns actions, and all randomness comes from a seed, so that sessions can
+be recorded, replayed and driven by other programs.
 
-Each module is one part and stands alone. [`node::Node`] composes them into
-the process that runs beside a backend server.
+Each module can be used on its own. [`node::Node`] combines them into the
+process that runs beside a backend server.
 
 # Example
 
@@ -25,7 +25,7 @@
 };
 assert!(queue.push(entry(1, 2)).is_ok());
 assert!(queue.push(entry(2, 1)).is_ok());
-// Full: the newcomer outranks call 1, which is given up in its place.
+// The queue is full, so the entry with the lowest priority is evicted.
 let evicted = queue.push(entry(3, 0)).unwrap();
 assert_eq!(evicted.map(|e| e.call), Some(CallId(1)));
 assert_eq!(queue.pop().map(|e| e.call), Some(CallId(3)));
--- a/crates/walnutmoor-core/src/lifetime.rs
+++ b/crates/walnutmoor-core/src/lifetime.rs
@@ -1,34 +1,32 @@
 /*!
-What a node believes of the instance beside it.
+Tracks the current lifetime of the instance that belongs to a node.
 
-The load pattern: instances are replaced, restarted and cut off under load,
-and what they say of themselves comes late and out of order. A lifetime of an
-instance that has said that it leaves never takes work again; one that starts
-under the id of an earlier one is another lifetime, and nothing that was
-said by or of the earlier one holds for it.
+Instances are replaced and restarted under load, and their reports arrive late
+and out of order. A lifetime that has announced its departure never takes work
+again. A restart under the same id is another lifetime, and nothing that was
+reported by or about the earlier one applies to it.
 
-Lifetimes are told apart by their id and the time of their start. Not every
-source tells that time; where it is missing, the id alone decides, and a former
-lifetime under the id counts as the one that is meant. The same instance is then
-believed to be gone until its next report, and no request reaches one that
-leaves.
+Lifetimes are identified by the instance's id and start time. If a source does
+not know the start time, the id alone decides, and an earlier lifetime with
+that id is assumed to be meant. The instance may then count as gone until its
+next report, but no request reaches one that is leaving.
 
 # Example
 
 ```
 use walnutmoor_core::lifetime::*;
 
-let report = |born, sequence, ready| Report {
-    lifetime: Lifetime::new("i-1", Some(born)),
+let report = |started_at, sequence, ready| Report {
+    lifetime: Lifetime::new("i-1", Some(started_at)),
     slots: 8,
     sequence,
     ready,
 };
-let mut belief = Belief::new();
-assert!(belief.report(&report(Born(100), 7, false)).has_changed());
-assert!(belief.report(&report(Born(900), 1, true)).has_changed());
-assert!(!belief.report(&report(Born(100), 8, false)).has_changed());
-assert!(belief.is_ready());
+let mut tracker = Tracker::new();
+assert!(tracker.report(&report(StartTime(100), 7, false)).has_changed());
+assert!(tracker.report(&report(StartTime(900), 1, true)).has_changed());
+assert!(!tracker.report(&report(StartTime(100), 8, false)).has_changed());
+assert!(tracker.is_ready());
 ```
 */
 
@@ -36,11 +34,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Former lifetimes that are remembered. One that has left is gone within a
-/// minute, and few follow each other in that time.
-const FORMER_MAX: usize = 16;
+/// The number of former lifetimes that are remembered.
+const MAX_FORMER_LIFETIMES: usize = 16;
 
-/// When an instance started, in milliseconds of the time of day; told by it.
+/// The time when an instance started, in milliseconds of the instance's
+/// wall clock.
 #[derive(
     Clone,
     Copy,
@@ -53,218 +51,231 @@
     Deserialize,
     Serialize,
 )]
-pub struct Born(pub u64);
+pub struct StartTime(pub u64);
 
-impl fmt::Display for Born {
+impl fmt::Display for StartTime {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.0)
     }
 }
 
-/// One start of an instance.
+/// Identifies one run of an instance, from its start to its end.
 #[derive(
     Clone, Debug, Default, Eq, Hash, PartialEq, Deserialize, Serialize,
 )]
 pub struct Lifetime {
-    /// The id of the instance; a later start may have the same.
+    /// The id of the instance; a later lifetime may have the same.
     pub id: String,
-    /// When it started, if that was told.
-    pub born: Option<Born>,
+    /// When it started, if known.
+    #[serde(rename = "born")]
+    pub started_at: Option<StartTime>,
 }
 
 impl Lifetime {
-    /// A start of the instance with this id.
-    pub fn new(id: &str, born: Option<Born>) -> Lifetime {
-        Lifetime { id: id.to_string(), born }
+    /// Creates the lifetime of an instance with this id.
+    pub fn new(id: &str, started_at: Option<StartTime>) -> Lifetime {
+        Lifetime { id: id.to_string(), started_at }
     }
 
-    /// True if both may be the same start.
-    pub fn may_be(&self, other: &Lifetime) -> bool {
-        let differs = match (self.born, other.born) {
+    /// True if both may be the same lifetime.
+    pub fn matches(&self, other: &Lifetime) -> bool {
+        let differs = match (self.started_at, other.started_at) {
             (Some(own), Some(other)) => own != other,
             _ => false,
         };
         self.id == other.id && !differs
     }
 
-    /// True if this one started before the other, as far as both tell.
+    /// True if this one is known to have started before the other.
     fn is_before(&self, other: &Lifetime) -> bool {
-        match (self.born, other.born) {
+        match (self.started_at, other.started_at) {
             (Some(own), Some(other)) => own < other,
             _ => false,
         }
     }
 }
 
-/// What an instance says of itself.
+/// A report of an instance about itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Report {
-    /// Which start of it speaks.
+    /// The lifetime that reports.
     pub lifetime: Lifetime,
-    /// How many requests it runs at a time.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
     /// Grows with each report of a lifetime.
     pub sequence: u64,
-    /// True if it takes new work.
+    /// True if it accepts new work.
     pub ready: bool,
 }
 
-/// What a word changed.
+/// What an update changed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// Nothing that matters to anybody else.
+    /// Nothing that other components depend on.
     None,
-    /// What is known of the lifetime that was known.
+    /// The state of the current lifetime.
     State,
-    /// Another lifetime is known now, or none: what was kept of the former
-    /// one, such as connections, is void.
+    /// The current lifetime; state kept for the former one, such as
+    /// connections, is obsolete.
     Lifetime,
 }
 
 impl Change {
-    /// True if something did.
+    /// True if anything changed.
     pub fn has_changed(self) -> bool {
         self != Change::None
     }
 }
 
-/// The lifetime that is known.
+/// The state of the current lifetime.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Known {
-    /// Which one.
+pub struct Instance {
+    /// The lifetime.
     pub lifetime: Lifetime,
-    /// How many requests it runs at a time.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
-    /// The number of its last report.
+    /// The sequence number of its last report.
     pub sequence: u64,
-    /// True if it takes new work.
+    /// True if it accepts new work.
     pub ready: bool,
 }
 
-/// What is believed.
+/// Tracks the current lifetime of one instance, and former ones.
 #[derive(Clone, Debug, Default)]
-pub struct Belief {
-    known: Option<Known>,
+pub struct Tracker {
+    current: Option<Instance>,
     former: VecDeque<Lifetime>,
 }
 
-impl Belief {
-    /// Nothing is known.
-    pub fn new() -> Belief {
-        Belief::default()
+impl Tracker {
+    /// Creates a tracker without a current lifetime.
+    pub fn new() -> Tracker {
+        Tracker::default()
     }
 
-    /// The lifetime that is known.
-    pub fn known(&self) -> Option<&Known> {
-        self.known.as_ref()
+    /// The current lifetime, if any is known.
+    pub fn current(&self) -> Option<&Instance> {
+        self.current.as_ref()
     }
 
-    /// True if it takes new work.
+    /// True if the current lifetime accepts new work.
     pub fn is_ready(&self) -> bool {
-        self.known.as_ref().is_some_and(|known| known.ready)
+        self.current.as_ref().is_some_and(|current| current.ready)
     }
 
-    /// The lifetime that has left, if it is the last that is known.
+    /// The current lifetime, if it has an id and does not accept work.
     pub fn departed(&self) -> Option<&Lifetime> {
-        let known = self.known.as_ref()?;
-        let left = !known.ready && !known.lifetime.id.is_empty();
-        left.then_some(&known.lifetime)
+        let current = self.current.as_ref()?;
+        let left = !current.ready && !current.lifetime.id.is_empty();
+        left.then_some(&current.lifetime)
     }
 
-    /// Takes a report.
+    /// Applies a report. Late reports and reports of former lifetimes are
+    /// ignored.
     pub fn report(&mut self, report: &Report) -> Change {
-        let told = &report.lifetime;
-        if self.is_former(told) {
+        let lifetime = &report.lifetime;
+        if self.is_former(lifetime) {
             return Change::None;
         }
-        let Some(known) = &mut self.known else {
+        let Some(current) = &mut self.current else {
             return self.replace(report);
         };
-        if told.is_before(&known.lifetime) {
+        if lifetime.is_before(&current.lifetime) {
             return Change::None;
         }
-        if !told.may_be(&known.lifetime) {
+        if !lifetime.matches(&current.lifetime) {
             return self.replace(report);
         }
-        if report.sequence < known.sequence {
+        if report.sequence < current.sequence {
             return Change::None;
         }
-        known.sequence = report.sequence;
-        known.lifetime.born = known.lifetime.born.or(told.born);
-        // One that has said that it leaves does not come back.
-        let leaves = known.ready && !report.ready;
-        known.ready &= report.ready;
-        match leaves {
+        current.sequence = report.sequence;
+        current.lifetime.started_at =
+            current.lifetime.started_at.or(lifetime.started_at);
+        // A lifetime that stopped accepting work never does so again.
+        let stops = current.ready && !report.ready;
+        current.ready &= report.ready;
+        match stops {
             true => Change::State,
             false => Change::None,
         }
     }
 
-    /// A lifetime says that it goes.
-    pub fn leave(&mut self, told: &Lifetime) -> Change {
-        match &mut self.known {
-            Some(known) if told.may_be(&known.lifetime) => {
-                known.lifetime.born = known.lifetime.born.or(told.born);
-                known.ready = false;
+    /// Records that a lifetime announced its departure.
+    pub fn leave(&mut self, lifetime: &Lifetime) -> Change {
+        match &mut self.current {
+            Some(current) if lifetime.matches(&current.lifetime) => {
+                current.lifetime.started_at =
+                    current.lifetime.started_at.or(lifetime.started_at);
+                current.ready = false;
                 Change::State
             }
             Some(_) => {
-                self.note_former(told.clone());
+                self.remember_former(lifetime.clone());
                 Change::None
             }
             None => {
-                let lifetime = told.clone();
-                self.known = Some(Known { lifetime, ..Known::default() });
+                let lifetime = lifetime.clone();
+                self.current =
+                    Some(Instance { lifetime, ..Instance::default() });
                 Change::State
             }
         }
     }
 
-    /// A health check found an instance; it tells nothing of its start. Only
-    /// believed while nothing is known.
-    pub fn found(&mut self, id: &str, slots: u32, ready: bool) -> Change {
-        if self.known.is_some() {
+    /// Records an instance that a health check found, with unknown start time.
+    /// Ignored if a lifetime is already known.
+    pub fn record_health_check(
+        &mut self,
+        id: &str,
+        slots: u32,
+        ready: bool,
+    ) -> Change {
+        if self.current.is_some() {
             return Change::None;
         }
         let found = Lifetime::new(id, None);
-        let former = self.former.iter().filter(|f| found.may_be(f));
-        let former = former.max_by_key(|former| former.born).cloned();
+        let former = self.former.iter().filter(|f| found.matches(f));
+        let former = former.max_by_key(|former| former.started_at).cloned();
         let ready = ready && former.is_none();
         let lifetime = former.unwrap_or(found);
-        self.known = Some(Known { lifetime, slots, sequence: 0, ready });
+        self.current = Some(Instance { lifetime, slots, sequence: 0, ready });
         Change::State
     }
 
-    /// Lifetimes that have left, as others remember.
-    pub fn note_left(&mut self, lifetimes: Vec<Lifetime>) -> Change {
+    /// Records departed lifetimes that other nodes remember.
+    pub fn record_departed(&mut self, lifetimes: Vec<Lifetime>) -> Change {
         let mut change = Change::None;
         for lifetime in lifetimes {
-            if let Some(known) = &mut self.known
-                && lifetime.may_be(&known.lifetime)
+            if let Some(current) = &mut self.current
+                && lifetime.matches(&current.lifetime)
             {
-                known.lifetime.born = known.lifetime.born.or(lifetime.born);
-                if std::mem::take(&mut known.ready) {
+                current.lifetime.started_at =
+                    current.lifetime.started_at.or(lifetime.started_at);
+                if std::mem::take(&mut current.ready) {
                     change = Change::State;
                 }
             }
-            self.note_former(lifetime);
+            self.remember_former(lifetime);
         }
         change
     }
 
-    /// Another instance answered at the address.
+    /// Drops the current lifetime, for when another instance answered at its
+    /// address.
     pub fn forget(&mut self) -> Change {
-        if let Some(known) = self.known.take() {
-            self.note_former(known.lifetime);
+        if let Some(current) = self.current.take() {
+            self.remember_former(current.lifetime);
         }
         Change::Lifetime
     }
 
+    /// Makes the reporting lifetime the current one.
     fn replace(&mut self, report: &Report) -> Change {
-        if let Some(known) = self.known.take() {
-            self.note_former(known.lifetime);
+        if let Some(current) = self.current.take() {
+            self.remember_former(current.lifetime);
         }
-        self.known = Some(Known {
+        self.current = Some(Instance {
             lifetime: report.lifetime.clone(),
             slots: report.slots,
             sequence: report.sequence,
@@ -273,15 +284,15 @@
         Change::Lifetime
     }
 
-    fn is_former(&self, told: &Lifetime) -> bool {
-        self.former.iter().any(|former| told.may_be(former))
+    fn is_former(&self, lifetime: &Lifetime) -> bool {
+        self.former.iter().any(|former| lifetime.matches(former))
     }
 
-    fn note_former(&mut self, lifetime: Lifetime) {
+    fn remember_former(&mut self, lifetime: Lifetime) {
         if self.former.contains(&lifetime) {
             return;
         }
-        if self.former.len() == FORMER_MAX {
+        if self.former.len() == MAX_FORMER_LIFETIMES {
             self.former.pop_front();
         }
         self.former.push_back(lifetime);
--- a/crates/walnutmoor-core/src/node/control.rs
+++ b/crates/walnutmoor-core/src/node/control.rs
@@ -177,7 +177,7 @@
                 member::Event::Up(node) => Note::Up(node),
                 member::Event::Down(node) => Note::Down(node),
                 member::Event::Reborn(node) => {
-                    self.router.reborn(node);
+                    self.router.restarted(node);
                     continue;
                 }
             };
--- a/crates/walnutmoor-core/src/node/outcome.rs
+++ b/crates/walnutmoor-core/src/node/outcome.rs
@@ -242,7 +242,7 @@
             return;
         }
         if let Some(to) = o.to {
-            self.router.gave_up(to);
+            self.router.abandoned(to);
             out.push(Action::Abort { call });
         }
         let refusal = Refusal::new(Kind::Canceled, Ran::Unknown);
@@ -275,7 +275,7 @@
             return;
         }
         if let Some(to) = o.to {
-            self.router.gave_up(to);
+            self.router.abandoned(to);
             out.push(Action::Abort { call });
         }
         self.give_up(now, call, refusal, out);
--- a/crates/walnutmoor-core/src/picker.rs
+++ b/crates/walnutmoor-core/src/picker.rs
@@ -1,18 +1,18 @@
 /*!
-Which backend server gets a call: two random choices on known load.
+Chooses the backend server that gets a call, by the power of two choices.
 
-Callers name a service, never an address. Two servers are drawn and the one
-with the lower cost wins. Servers in the node's own zone are preferred while
-the cheaper of the two has room there. Load is what a server's own node last
-said on an answer, plus what this node has sent since. Errors raise a
-server's cost, so that one that fails fast does not draw load; silence after
-a failed connection puts it aside for a while.
+Callers name a service, never an address. Two random servers are compared and
+the one with the lower cost is chosen. Servers in the local zone are preferred
+while the cheaper of the two has capacity. The load of a server is the last
+report of its node plus what this node has sent since. Errors raise the cost,
+so that a server that fails fast does not attract load, and a failed connection
+ejects the server for a while.
 
 # Example
 
 ```
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng};
-use walnutmoor_core::{directory::Servers, prelude::*, picker::Router};
+use walnutmoor_core::{directory::Servers, picker::Picker, prelude::*};
 
 let node = |text: &str| text.parse::<NodeId>().unwrap();
 let servers = Servers {
@@ -20,11 +20,11 @@
     remote: vec![node("10.1.0.1:7402")],
 };
 let mut rng = ChaCha8Rng::seed_from_u64(1);
-let mut router = Router::new();
-let pick = router.pick(Millis(0), &servers, &[], &mut rng);
+let mut picker = Picker::new();
+let pick = picker.pick(Millis(0), &servers, &[], &mut rng);
 assert_eq!(pick, Some(servers.local[0]));
-router.failed(Millis(0), servers.local[0]);
-let pick = router.pick(Millis(1), &servers, &[], &mut rng);
+picker.failed(Millis(0), servers.local[0]);
+let pick = picker.pick(Millis(1), &servers, &[], &mut rng);
 assert_eq!(pick, Some(servers.remote[0]));
 ```
 */
@@ -34,94 +34,95 @@
 
 use crate::{digest::Map, directory::Servers, id::NodeId, time::Millis};
 
-/// What a server's node says of its load on each answer.
+/// The load of a server, which its node reports with each response.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize,
 )]
 pub struct Load {
-    /// Calls that run or wait.
+    /// The number of calls that run or are queued.
     pub busy: u32,
-    /// Calls that may run.
+    /// The number of calls that may run concurrently.
     pub allowed: u32,
 }
 
-/// Above this share of its places a server counts as having no room, and
-/// servers of other zones are looked at. A zone away costs well under a
-/// millisecond in the brief, less than waiting for one call.
-const ROOM: f64 = 0.9;
+/// The cost from which a server counts as full and servers of other zones are
+/// considered.
+const FULL_COST: f64 = 0.9;
 
-/// A load report older than this says nothing.
-const FRESH: Millis = Millis(2_000);
+/// The age after which a load report is ignored.
+const MAX_LOAD_AGE: Millis = Millis(2_000);
 
-/// How long a server is put aside after its first failed connection. It
-/// doubles with each further one.
-const ASIDE: Millis = Millis(500);
+/// How long a server is ejected after its first failed connection. The time
+/// doubles with each further failure.
+const BASE_EJECTION: Millis = Millis(500);
 
-/// The longest time aside.
-const ASIDE_MAX: Millis = Millis(8_000);
+/// The longest ejection.
+const MAX_EJECTION: Millis = Millis(8_000);
 
-/// The weight of one answer in a server's share of errors.
-const WEIGHT: f64 = 0.1;
+/// The weight of one response in the moving average of the error rate.
+const ERROR_RATE_WEIGHT: f64 = 0.1;
 
-/// The most servers remembered; the longest unused are forgotten.
-const SERVERS_MAX: usize = 4_096;
+/// The most servers with statistics; the least recently heard from are dropped
+/// first.
+const MAX_SERVERS: usize = 4_096;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Stat {
     load: Load,
-    at: Millis,
+    reported_at: Millis,
     sent: u32,
-    waiting: u32,
-    errors: f64,
+    in_flight: u32,
+    error_rate: f64,
     failures: u32,
-    aside: Millis,
+    ejected_until: Millis,
 }
 
 impl Stat {
     fn cost(&self, now: Millis) -> f64 {
-        let fresh = now.since(self.at) <= FRESH && self.load.allowed > 0;
+        let fresh = now.since(self.reported_at) <= MAX_LOAD_AGE
+            && self.load.allowed > 0;
         let known = if fresh { self.load.busy + self.sent } else { 0 };
-        let busy = f64::from(known.max(self.waiting) + 1);
+        let busy = f64::from(known.max(self.in_flight) + 1);
         let allowed = f64::from(self.load.allowed.max(1));
-        let good = (1.0 - self.errors).max(0.05);
-        // Squared, so that halving the good answers more than undoes the
-        // room that quick errors leave free.
-        busy / allowed / (good * good)
+        let success_rate = (1.0 - self.error_rate).max(0.05);
+        // Squared, so that halving the success rate outweighs the capacity
+        // that fast errors leave free.
+        busy / allowed / (success_rate * success_rate)
     }
 }
 
-/// Chooses servers.
+/// Chooses servers by the load and errors seen by this node.
 #[derive(Debug, Default)]
-pub struct Router {
+pub struct Picker {
     stats: Map<NodeId, Stat>,
 }
 
-impl Router {
-    /// Knows no loads yet.
-    pub fn new() -> Router {
-        Router::default()
+impl Picker {
+    /// Creates a picker without statistics.
+    pub fn new() -> Picker {
+        Picker::default()
     }
 
-    /// Draws a server that is not in `not`.
+    /// Chooses a server that is not excluded.
     pub fn pick(
         &self,
         now: Millis,
         servers: &Servers,
-        not: &[NodeId],
+        excluded: &[NodeId],
         rng: &mut impl Rng,
     ) -> Option<NodeId> {
-        let near = self.draw(now, &servers.local, not, rng);
-        if let Some((node, cost)) = near
-            && cost < ROOM
+        let local = self.draw(now, &servers.local, excluded, rng);
+        if let Some((node, cost)) = local
+            && cost < FULL_COST
         {
             return Some(node);
         }
-        let far = self.draw(now, &servers.remote, not, rng);
-        match (near, far) {
-            (Some(n), Some(f)) if f.1 < n.1 => Some(f.0),
-            (Some(n), _) => Some(n.0),
-            (None, Some(f)) => Some(f.0),
-            (None, None) => self.last_resort(servers, not, rng),
+        let remote = self.draw(now, &servers.remote, excluded, rng);
+        match (local, remote) {
+            (Some(l), Some(r)) if r.1 < l.1 => Some(r.0),
+            (Some(l), _) => Some(l.0),
+            (None, Some(r)) => Some(r.0),
+            (None, None) => self.last_resort(servers, excluded, rng),
         }
     }
 
@@ -129,18 +130,18 @@
         &self,
         now: Millis,
         list: &[NodeId],
-        not: &[NodeId],
+        excluded: &[NodeId],
         rng: &mut impl Rng,
     ) -> Option<(NodeId, f64)> {
         let mut best: Option<(NodeId, f64)> = None;
         let mut drawn = 0;
-        for _ in 0..tries(list.len()) {
+        for _ in 0..max_draws(list.len()) {
             let node = list[rng.random_range(0..list.len())];
-            if not.contains(&node) {
+            if excluded.contains(&node) {
                 continue;
             }
             let stat = self.stats.get(&node).copied().unwrap_or_default();
-            if stat.aside > now {
+            if stat.ejected_until > now {
                 continue;
             }
             let cost = stat.cost(now);
@@ -152,33 +153,36 @@
                 break;
             }
         }
-        best.or_else(|| self.scan(now, list, not))
+        best.or_else(|| self.scan(now, list, excluded))
     }
 
-    /// The draws may all have missed in a short list.
+    /// The cheapest eligible server near the start of the list, for when no
+    /// draw hit one.
     fn scan(
         &self,
         now: Millis,
         list: &[NodeId],
-        not: &[NodeId],
+        excluded: &[NodeId],
     ) -> Option<(NodeId, f64)> {
-        let few = &list[..list.len().min(SCAN_MAX)];
+        let few = &list[..list.len().min(MAX_SCANNED_SERVERS)];
         let stat = |n| self.stats.get(n).copied().unwrap_or_default();
         few.iter()
-            .filter(|n| !not.contains(n) && stat(n).aside <= now)
+            .filter(|n| !excluded.contains(n) && stat(n).ejected_until <= now)
             .map(|n| (*n, stat(n).cost(now)))
             .min_by(|a, b| a.1.total_cmp(&b.1))
     }
 
-    /// All are set aside: asking one is better than asking none.
+    /// A random server if all are ejected, since trying one is better than
+    /// failing the call.
     fn last_resort(
         &self,
         servers: &Servers,
-        not: &[NodeId],
+        excluded: &[NodeId],
         rng: &mut impl Rng,
     ) -> Option<NodeId> {
         let all = servers.local.iter().chain(&servers.remote);
-        let free = all.filter(|n| !not.contains(n)).take(SCAN_MAX);
+        let free =
+            all.filter(|n| !excluded.contains(n)).take(MAX_SCANNED_SERVERS);
         let free: Vec<&NodeId> = free.collect();
         if free.is_empty() {
             return None;
@@ -187,82 +191,82 @@
     }
 
     fn stat(&mut self, node: NodeId) -> &mut Stat {
-        if self.stats.len() >= SERVERS_MAX && !self.stats.contains_key(&node) {
+        if self.stats.len() >= MAX_SERVERS && !self.stats.contains_key(&node) {
             self.shrink();
         }
         self.stats.entry(node).or_default()
     }
 
-    /// Forgets an eighth, the longest unheard, so that the cost of looking
-    /// for them is shared by many calls.
+    /// Drops an eighth of the statistics, those least recently updated, so
+    /// that the cost of the search is spread over many calls.
     fn shrink(&mut self) {
-        let idle = self.stats.iter().filter(|(_, s)| s.waiting == 0);
+        let idle = self.stats.iter().filter(|(_, s)| s.in_flight == 0);
         let mut idle: Vec<(Millis, NodeId)> =
-            idle.map(|(node, s)| (s.at, *node)).collect();
+            idle.map(|(node, s)| (s.reported_at, *node)).collect();
         idle.sort_unstable();
-        idle.truncate(SERVERS_MAX / 8);
+        idle.truncate(MAX_SERVERS / 8);
         for (_, node) in idle {
             self.stats.remove(&node);
         }
     }
 
-    /// A call was sent.
+    /// Records that a call was sent.
     pub fn sent(&mut self, node: NodeId) {
         let stat = self.stat(node);
         stat.sent += 1;
-        stat.waiting += 1;
+        stat.in_flight += 1;
     }
 
-    /// An answer came, good or not, perhaps with the server's load.
+    /// Records a response and the load report that it carried, if any.
     pub fn answered(
         &mut self,
         now: Millis,
         node: NodeId,
         load: Option<Load>,
-        good: bool,
+        success: bool,
     ) {
         let stat = self.stat(node);
-        stat.waiting = stat.waiting.saturating_sub(1);
+        stat.in_flight = stat.in_flight.saturating_sub(1);
         stat.failures = 0;
-        stat.aside = Millis(0);
-        let error = if good { 0.0 } else { 1.0 };
-        stat.errors += (error - stat.errors) * WEIGHT;
+        stat.ejected_until = Millis(0);
+        let error = if success { 0.0 } else { 1.0 };
+        stat.error_rate += (error - stat.error_rate) * ERROR_RATE_WEIGHT;
         if let Some(load) = load {
             stat.load = load;
-            stat.at = now;
+            stat.reported_at = now;
             stat.sent = 0;
         }
     }
 
-    /// A call was canceled or ran out of time without an answer.
-    pub fn gave_up(&mut self, node: NodeId) {
+    /// Records that a call was canceled or timed out without a response.
+    pub fn abandoned(&mut self, node: NodeId) {
         let stat = self.stat(node);
-        stat.waiting = stat.waiting.saturating_sub(1);
+        stat.in_flight = stat.in_flight.saturating_sub(1);
     }
 
-    /// A connection was refused or broke off.
+    /// Records that a connection was refused or broke.
     pub fn failed(&mut self, now: Millis, node: NodeId) {
         let stat = self.stat(node);
-        stat.waiting = stat.waiting.saturating_sub(1);
-        stat.errors += (1.0 - stat.errors) * WEIGHT;
-        let doubled = ASIDE.0 << stat.failures.min(8);
+        stat.in_flight = stat.in_flight.saturating_sub(1);
+        stat.error_rate += (1.0 - stat.error_rate) * ERROR_RATE_WEIGHT;
+        let doubled = BASE_EJECTION.0 << stat.failures.min(8);
         stat.failures += 1;
-        stat.aside = now + Millis(doubled).min(ASIDE_MAX);
+        stat.ejected_until = now + Millis(doubled).min(MAX_EJECTION);
     }
 
-    /// A node has begun another life: what was known of it is void.
-    pub fn reborn(&mut self, node: NodeId) {
+    /// Drops the statistics of a node that restarted.
+    pub fn restarted(&mut self, node: NodeId) {
         self.stats.remove(&node);
     }
 }
 
-/// The most servers looked at when the random draws found none.
-const SCAN_MAX: usize = 64;
+/// The most servers scanned when no random draw hit an eligible one.
+const MAX_SCANNED_SERVERS: usize = 64;
 
-/// How many servers are compared.
+/// The number of servers that are compared.
 const CHOICES: usize = 2;
 
-/// Twice as many draws as choices: some may hit a server set aside.
-fn tries(len: usize) -> usize {
+/// The number of draws: twice the choices, as some may hit an ejected server.
+fn max_draws(len: usize) -> usize {
     (2 * CHOICES).min(2 * len)
 }
--- a/crates/walnutmoor-core/src/pipeline.rs
+++ b/crates/walnutmoor-core/src/pipeline.rs
@@ -1,16 +1,14 @@
 /*!
-The requests of one caller's connection that are under way at once.
+HTTP/1.1 pipelining: bounds the requests of one caller's connection that are in
+flight together.
 
-The load pattern: a caller sends further requests before the first is
-answered. Served one at a time they wait for one another. So they are served at
-once, and answered in the order in which they came.
-
-Three bounds hold. So many are under way at most, as each holds memory and its
-answer may have to wait for those ahead. A request that may run only once is
-alone: if the connection ends, its caller could not tell whether it was
-begun. And once the connection is to close, nothing more is begun, and the
-answer that says so is that of the last one begun, because callers take what
-they sent behind such an answer as not read and send it again.
+Pipelined requests run concurrently and are answered in the order in which they
+arrived. The number in flight is bounded, since each holds memory and its
+response may have to wait for earlier ones. A request that is not idempotent
+runs alone: if the connection broke, its caller could not tell whether it was
+started. Once the connection is draining, no request is started, and only the
+last response says that the connection closes, because callers resend the
+requests that follow such a response.
 
 # Example
 
@@ -22,62 +20,69 @@
 assert!(pipeline.may_begin(true));
 assert!(!pipeline.may_begin(false));
 pipeline.begin(true);
-pipeline.stop();
+pipeline.drain();
 assert!(!pipeline.end());
 assert!(pipeline.end());
 ```
 */
 
-/// The state of one connection.
+/// The requests in flight on one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Pipeline {
-    most: usize,
-    under_way: usize,
-    is_alone: bool,
-    is_stopped: bool,
+    max_in_flight: usize,
+    in_flight: usize,
+    is_exclusive: bool,
+    is_draining: bool,
 }
 
 impl Pipeline {
-    /// A connection on which so many requests may be under way.
-    pub fn new(most: usize) -> Pipeline {
-        Pipeline { most, under_way: 0, is_alone: false, is_stopped: false }
+    /// Creates the state of a connection with at most this many requests in
+    /// flight.
+    pub fn new(max_in_flight: usize) -> Pipeline {
+        Pipeline {
+            max_in_flight,
+            in_flight: 0,
+            is_exclusive: false,
+            is_draining: false,
+        }
     }
 
-    /// True if a request may begin; `again` tells whether it may run more
-    /// than once.
-    pub fn may_begin(&self, again: bool) -> bool {
-        match self.under_way {
-            _ if self.is_stopped => false,
+    /// True if a request may be started.
+    pub fn may_begin(&self, idempotent: bool) -> bool {
+        match self.in_flight {
+            _ if self.is_draining => false,
             0 => true,
-            count => again && !self.is_alone && count < self.most,
+            count => {
+                idempotent && !self.is_exclusive && count < self.max_in_flight
+            }
         }
     }
 
-    /// A request begins.
-    pub fn begin(&mut self, again: bool) {
-        self.under_way += 1;
-        self.is_alone = !again;
+    /// Records that a request was started.
+    pub fn begin(&mut self, idempotent: bool) {
+        self.in_flight += 1;
+        self.is_exclusive = !idempotent;
     }
 
-    /// The first of those under way is answered. True if its answer is the
-    /// last one and has to say that the connection closes.
+    /// Records that the oldest request in flight was answered. Returns true if
+    /// its response is the last one and must say that the connection closes.
     pub fn end(&mut self) -> bool {
-        self.under_way = self.under_way.saturating_sub(1);
-        self.is_over()
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.is_drained()
     }
 
-    /// Nothing more is begun.
-    pub fn stop(&mut self) {
-        self.is_stopped = true;
+    /// Stops starting requests.
+    pub fn drain(&mut self) {
+        self.is_draining = true;
     }
 
-    /// True if nothing more is begun.
-    pub fn is_stopped(&self) -> bool {
-        self.is_stopped
+    /// True if no more requests are started.
+    pub fn is_draining(&self) -> bool {
+        self.is_draining
     }
 
-    /// True if everything is answered and nothing more is begun.
-    pub fn is_over(&self) -> bool {
-        self.is_stopped && self.under_way == 0
+    /// True if no more requests are started and all are answered.
+    pub fn is_drained(&self) -> bool {
+        self.is_draining && self.in_flight == 0
     }
 }
--- a/crates/walnutmoor-core/src/retry_budget.rs
+++ b/crates/walnutmoor-core/src/retry_budget.rs
@@ -1,104 +1,100 @@
 /*!
-The allowance of repeats at one instance.
-
-The load pattern: a service hands out failures, every caller tries again, and
-the tries themselves keep the service down. Each node lets its instance
-be reached by repeats only in proportion to the first requests that reached it in
-the same window. As every instance of a service keeps the proportion, so does
-the service, with nothing to agree on.
-
-The calls of a run that is itself a repeat count as well, and can't be turned
-away without wasting that run. They reach some instances more than others, so
-the repeats that an instance grants itself have a smaller bound of their own:
-else one instance fills its allowance while another exceeds it. An instance
-whose runs make no calls starts no such trees, so its own bound is wider.
-
-When more repeats are asked for than there are, they are dealt out by whole
-requests. A claim that needs eight answers is lost with the first that it
-lacks, so a little for each of many requests serves none of them. Each request
-has a lot, the same at every instance and for each of its calls; the fewer
-repeats are left, the lower its lot must be, and the least urgent go first.
-What is left is counted over a fraction of the window, so that the allowance
-lasts as long as the trouble does. By the replay in `tests/shedding.rs`, where
-every instance turns away 0.55 of what it gets, 0.28 of the claims are served
-in time this way, and 0.04 if repeats go to whoever asks first.
+The retry budget of one instance.
+
+When a service fails, retries by its callers can keep it overloaded. Each node
+admits retries to its instance only in proportion to the initial requests that
+reached the instance in the same window. As every instance keeps the ratio, the
+service as a whole does too, without coordination.
+
+Calls made by a run that is itself a retry also count against the budget. They
+cannot be rejected without wasting that run, and they are spread unevenly over
+instances, so the retries that an instance admits itself have a lower limit of
+their own. Instances whose runs make no calls (leaves) have a higher one.
+
+When demand exceeds the budget, retries go to whole requests: a request that
+needs several retries fails with the first one that is denied. Each request has
+a [`SampleKey`] that is the same at every instance and for each of its calls.
+As the burst drains, only requests with lower keys are admitted, and the least
+urgent ranks are cut first.
 
 # Example
 
 ```
 use walnutmoor_core::{prelude::*, retry_budget::*};
 
-let mut repeats = Repeats::new(Config::new().ratio(0.1).slack(0.0));
+let mut budget = RetryBudget::new(Config::new().ratio(0.1).slack(0.0));
 for at in 0..10 {
-    repeats.first(Millis(at));
+    budget.record_request(Millis(at));
 }
-assert!(repeats.try_repeat(Millis(20)));
-assert!(!repeats.try_repeat(Millis(21)));
+assert!(budget.try_retry(Millis(20)));
+assert!(!budget.try_retry(Millis(21)));
 ```
 */
 
 use std::collections::VecDeque;
 
-use crate::{bulkhead::URGENT, digest, footprint::State, time::Millis};
+use crate::{bulkhead::URGENT_RANKS, digest, footprint::State, time::Millis};
 
-/// Where a whole request stands among those of its rank; the same at every
-/// node, and for each call that is made for it.
+/// The position of a whole request in a uniform sample of requests: a hash of
+/// its id, the same at every node and for each call made for the request.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Lot(u16);
+pub struct SampleKey(u16);
 
-impl Lot {
-    /// The lot of a request, by the id that its calls share.
-    pub fn of(request: &str) -> Lot {
-        Lot((digest::of(request) >> 48) as u16)
+impl SampleKey {
+    /// Hashes the request id that all calls of a request share.
+    pub fn of(request: &str) -> SampleKey {
+        SampleKey((digest::of(request) >> 48) as u16)
     }
 
-    /// The part of all requests that stand before this one.
-    fn part(self) -> f64 {
+    /// The fraction of all requests with a lower key.
+    fn fraction(self) -> f64 {
         f64::from(self.0) / f64::from(u16::MAX)
     }
 }
 
-/// What asks for a repeat.
+/// The priority of a retry.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Asker {
-    /// The rank of the whole request, as `bulkhead::urgency` gives it.
+pub struct Priority {
+    /// The rank of the whole request, as returned by `bulkhead::urgency`.
     pub rank: u8,
-    /// Its lot.
-    pub lot: Lot,
+    /// Orders requests of the same rank.
+    pub sample_key: SampleKey,
 }
 
-impl Asker {
-    /// True if its lot is among the first part of all.
-    pub(crate) fn is_among(self, part: f64) -> bool {
-        self.lot.part() < part
+impl Priority {
+    /// True if the request lies in the first `fraction` of the sample.
+    pub(crate) fn is_within(self, fraction: f64) -> bool {
+        self.sample_key.fraction() < fraction
     }
 
-    /// The part of the burst that must be left for this one.
-    pub(crate) fn needs(self) -> f64 {
-        match usize::from(self.rank) < URGENT {
-            true => self.lot.part() * (1.0 - KEPT),
-            false => (1.0 - KEPT) + self.lot.part() * KEPT,
+    /// The fraction of the burst that must remain for this retry to be
+    /// admitted.
+    pub(crate) fn required_burst(self) -> f64 {
+        match usize::from(self.rank) < URGENT_RANKS {
+            true => self.sample_key.fraction() * (1.0 - URGENT_BURST_SHARE),
+            false => {
+                (1.0 - URGENT_BURST_SHARE)
+                    + self.sample_key.fraction() * URGENT_BURST_SHARE
+            }
         }
     }
 }
 
-/// The part of the burst that is kept from the two least urgent ranks, whose
-/// requests are worth less for each repeat.
-const KEPT: f64 = 0.5;
+/// The fraction of the burst that is reserved for the urgent ranks.
+const URGENT_BURST_SHARE: f64 = 0.5;
 
-/// The part of a window's allowance that may be spent at once. A short
-/// trouble is ridden out with it; what a long one costs is met by what
-/// accrues.
-const BURST: f64 = 0.25;
+/// The fraction of a window's allowance that may be spent at once. The rest
+/// accrues over the window, so that it lasts through a long failure.
+const BURST_SHARE: f64 = 0.25;
 
-/// The least size of the burst, so that a quiet instance can repeat at all.
-const BURST_MIN: f64 = 3.0;
+/// The smallest burst, so that an instance with little traffic can admit
+/// retries at all.
+const MIN_BURST_RETRIES: f64 = 3.0;
 
-/// How fast the share of what the instance turns away follows: half of it is
-/// forgotten after some 34 requests, a fraction of a second under load.
-const SHED_STEP: f64 = 0.02;
+/// The weight of one request in the moving average of the rejection rate.
+const REJECTION_RATE_WEIGHT: f64 = 0.02;
 
-/// How many repeats there may be.
+/// The limits of a [`RetryBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
     ratio: f64,
@@ -107,7 +103,7 @@
     leaf_total: f64,
     slack: f64,
     window: Millis,
-    earlier: f64,
+    carry_over: f64,
 }
 
 impl Default for Config {
@@ -120,246 +116,267 @@
             leaf_total: 0.12,
             slack: 2.0,
             window,
-            earlier: 0.0,
+            carry_over: 0.0,
         }
     }
 }
 
 impl Config {
-    /// The default: 0.05 repeats a request and 2 more in 10 s, and 0.12 with
-    /// those that repeated runs make.
+    /// The default limits: 0.05 retries per request plus 2 in a window of
+    /// 10 s, and 0.12 per request including calls of retried runs.
     pub fn new() -> Config {
         Config::default()
     }
 
-    /// Repeats for each first request in the window.
+    /// Sets the retries admitted per initial request in the window.
     pub fn ratio(mut self, ratio: f64) -> Config {
         self.ratio = ratio;
         self.leaf = ratio;
         self
     }
 
-    /// Repeats for each first request, with those that repeated runs make.
+    /// Sets the retries per initial request, including calls of retried
+    /// runs.
     pub fn total(mut self, total: f64) -> Config {
         self.total = total;
         self.leaf_total = total;
         self
     }
 
-    /// The same two for an instance whose runs make no calls; set after them.
+    /// Sets both ratios for an instance whose runs make no calls. Call this
+    /// after [`Config::ratio`] and [`Config::total`], which overwrite it.
     pub fn leaf(mut self, ratio: f64, total: f64) -> Config {
         self.leaf = ratio;
         self.leaf_total = total;
         self
     }
 
-    /// Repeats besides.
+    /// Sets the retries admitted per window regardless of traffic.
     pub fn slack(mut self, slack: f64) -> Config {
         self.slack = slack;
         self
     }
 
-    /// The span over which both are counted.
+    /// Sets the window over which requests and retries are counted.
     pub fn window(mut self, window: Millis) -> Config {
         self.window = window;
         self
     }
 
-    /// The part of the first requests of the window before that counts, if
-    /// it had more. Work that moves from one instance to another counts at
-    /// both for a while, so not all of it should.
-    pub fn earlier(mut self, part: f64) -> Config {
-        self.earlier = part;
+    /// Sets the fraction of the previous window's initial requests that is
+    /// the lower bound for this window's.
+    ///
+    /// Use less than 1: traffic that moves from one instance to another
+    /// counts at both for a while.
+    pub fn carry_over(mut self, fraction: f64) -> Config {
+        self.carry_over = fraction;
         self
     }
 }
 
-/// A part of the window.
+/// The counts of one slice of the window.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    from: Millis,
-    firsts: u64,
-    repeats: u64,
-    echoes: u64,
+    start: Millis,
+    requests: u64,
+    retries: u64,
+    nested: u64,
     calls: u64,
 }
 
-/// Buckets in a window. A first request is forgotten up to a twentieth of
-/// the window early and a repeat as much late, so that no window ever holds
-/// more repeats than it may.
-const BUCKETS: u64 = 20;
+/// Buckets in a window. Requests expire up to one bucket early and retries up
+/// to one bucket late, so that no window exceeds its allowance.
+const BUCKETS_PER_WINDOW: u64 = 20;
 
-/// An instance is one whose runs make calls if they make more than one in so
-/// many; a stray call must not take its allowance.
-const CALLS_PART: u64 = 50;
+/// An instance counts as a leaf while its runs make at most one call per this
+/// many requests, so that a stray call does not lower its allowance.
+const LEAF_REQUESTS_PER_CALL: u64 = 50;
 
-/// The repeats of one window: its own, and with the calls of repeated runs.
+/// The retries that one window may hold.
 #[derive(Clone, Copy, Debug)]
 struct Allowance {
+    /// Retries admitted by this instance.
     own: f64,
-    all: f64,
+    /// The same, including calls of retried runs.
+    total: f64,
 }
 
-/// Counts first requests and repeats.
+/// Counts requests and admits retries to one instance.
 #[derive(Debug)]
-pub struct Repeats {
+pub struct RetryBudget {
     config: Config,
     buckets: VecDeque<Bucket>,
-    /// Repeats of the burst that are spent, and when they were counted.
+    /// Retries spent from the burst, as of `spent_at`.
     spent: f64,
-    counted: Millis,
-    shed: f64,
+    spent_at: Millis,
+    rejection_rate: f64,
 }
 
-impl Repeats {
-    /// Nothing was counted yet.
-    pub fn new(config: Config) -> Repeats {
+impl RetryBudget {
+    /// Creates a budget with nothing counted.
+    pub fn new(config: Config) -> RetryBudget {
         let buckets = VecDeque::new();
-        Repeats { config, buckets, spent: 0.0, counted: Millis(0), shed: 0.0 }
+        RetryBudget {
+            config,
+            buckets,
+            spent: 0.0,
+            spent_at: Millis(0),
+            rejection_rate: 0.0,
+        }
     }
 
-    /// Counts a first request.
-    pub fn first(&mut self, now: Millis) {
-        self.bucket(now).firsts += 1;
+    /// Counts an initial request.
+    pub fn record_request(&mut self, now: Millis) {
+        self.bucket(now).requests += 1;
     }
 
-    /// Counts a call that a run of this instance makes.
-    pub fn call(&mut self, now: Millis) {
+    /// Counts a call made by a run of this instance.
+    pub fn record_call(&mut self, now: Millis) {
         self.bucket(now).calls += 1;
     }
 
-    /// Sets the slack; it depends on how many instances share it.
+    /// Replaces the slack, for example when the number of instances that
+    /// share it changes.
     pub fn set_slack(&mut self, slack: f64) {
         self.config.slack = slack;
     }
 
-    /// Counts a repeat of the most urgent request, if one is allowed now.
-    pub fn try_repeat(&mut self, now: Millis) -> bool {
-        self.try_repeat_for(now, Asker::default())
+    /// Admits and counts a retry of the highest priority, if the budget
+    /// allows it.
+    pub fn try_retry(&mut self, now: Millis) -> bool {
+        self.try_retry_for(now, Priority::default())
     }
 
-    /// Counts a repeat for this one, if one is allowed now.
-    pub fn try_repeat_for(&mut self, now: Millis, asker: Asker) -> bool {
+    /// Admits and counts a retry of this priority, if the budget allows it.
+    pub fn try_retry_for(&mut self, now: Millis, priority: Priority) -> bool {
         let allowance = self.allowance(now);
-        let burst = (allowance.own * BURST).max(BURST_MIN);
+        let burst = (allowance.own * BURST_SHARE).max(MIN_BURST_RETRIES);
         let accrued = self.accrued(now, allowance.own);
         self.spent = (self.spent - accrued).max(0.0);
-        self.counted = now;
+        self.spent_at = now;
         let left = 1.0 - self.spent / burst;
-        if self.left(now) == 0 || left <= 0.0 || left < asker.needs() {
+        if self.remaining(now) == 0
+            || left <= 0.0
+            || left < priority.required_burst()
+        {
             return false;
         }
         self.spent += 1.0;
-        self.bucket(now).repeats += 1;
+        self.bucket(now).retries += 1;
         true
     }
 
-    /// The part of the burst that is left at this moment; those who need more
-    /// get no repeat.
-    fn level(&self, now: Millis) -> f64 {
-        if self.left(now) == 0 {
+    /// The fraction of the burst that remains.
+    fn burst_remaining(&self, now: Millis) -> f64 {
+        if self.remaining(now) == 0 {
             return 0.0;
         }
         let allowance = self.allowance(now);
-        let burst = (allowance.own * BURST).max(BURST_MIN);
+        let burst = (allowance.own * BURST_SHARE).max(MIN_BURST_RETRIES);
         let spent = self.spent - self.accrued(now, allowance.own);
         (1.0 - spent / burst).clamp(0.0, 1.0)
     }
 
-    /// Counts a request that reached the instance, which may have turned it
-    /// away.
-    pub fn arrived(&mut self, turned_away: bool) {
-        let target = f64::from(u8::from(turned_away));
-        self.shed += (target - self.shed) * SHED_STEP;
+    /// Counts a request that reached the instance, and whether the instance
+    /// rejected it.
+    pub fn record_arrival(&mut self, rejected: bool) {
+        let sample = f64::from(u8::from(rejected));
+        self.rejection_rate +=
+            (sample - self.rejection_rate) * REJECTION_RATE_WEIGHT;
     }
 
-    /// What the instance turns away, and what is spent for it.
+    /// The rejection rate of the instance and the fraction of its retry burst
+    /// that is spent.
     pub fn state(&self, now: Millis) -> State {
-        State::new(self.shed, 1.0 - self.level(now))
+        State::new(self.rejection_rate, 1.0 - self.burst_remaining(now))
     }
 
-    /// Counts a request of a run that is itself a repeat. It is not asked
-    /// for: turning it away would waste that run. What it takes is missing
-    /// for other repeats.
-    pub fn echo(&mut self, now: Millis) {
-        self.bucket(now).echoes += 1;
+    /// Counts a call made by a run that is itself a retry.
+    ///
+    /// Such calls are always admitted, since rejecting them would waste the
+    /// run, but they reduce the budget for other retries.
+    pub fn record_nested(&mut self, now: Millis) {
+        self.bucket(now).nested += 1;
     }
 
-    /// Repeats that are left at this moment.
-    pub fn left(&self, now: Millis) -> u64 {
-        let Allowance { own, all } = self.allowance(now);
+    /// The retries that the current window still allows.
+    pub fn remaining(&self, now: Millis) -> u64 {
+        let Allowance { own, total } = self.allowance(now);
         let (window, width) = (self.config.window, self.width());
-        let recent = |b: &&Bucket| now <= b.from + width + window;
+        let recent = |b: &&Bucket| now <= b.start + width + window;
         let recent = self.buckets.iter().filter(recent);
-        let (mut repeats, mut echoes) = (0, 0);
+        let (mut retries, mut nested) = (0, 0);
         for bucket in recent {
-            repeats += bucket.repeats;
-            echoes += bucket.echoes;
+            retries += bucket.retries;
+            nested += bucket.nested;
         }
-        let own = (own as u64).saturating_sub(repeats);
-        let all = (all as u64).saturating_sub(repeats + echoes);
-        own.min(all)
+        let own = (own as u64).saturating_sub(retries);
+        let total = (total as u64).saturating_sub(retries + nested);
+        own.min(total)
     }
 
-    /// What one window may hold: by the first requests of the window that
-    /// ends now or, if it had more, of a part of the one before it. Requests
-    /// that fail half-way make fewer calls, so a service that turns many
-    /// away is soon asked for less than what its callers want.
+    /// The allowance of the window that ends now, based on its initial
+    /// requests or, if higher, on a fraction of the previous window's.
+    ///
+    /// Runs that fail early make fewer calls, so a failing service soon gets
+    /// fewer initial requests than its callers would like to send.
     fn allowance(&self, now: Millis) -> Allowance {
         let Config { ratio, leaf, total, leaf_total, .. } = self.config;
-        let Config { slack, window, earlier: part, .. } = self.config;
-        let (firsts, calls) = self.count(now - window, now);
-        let earlier = now - window;
-        let (before, _) = self.count(earlier - window, earlier);
-        let (own, all) = match calls * CALLS_PART > firsts {
+        let Config { slack, window, carry_over: fraction, .. } = self.config;
+        let (requests, calls) = self.count(now - window, now);
+        let previous = now - window;
+        let (before, _) = self.count(previous - window, previous);
+        let (own, total) = match calls * LEAF_REQUESTS_PER_CALL > requests {
             true => (ratio, total),
             false => (leaf, leaf_total),
         };
-        let firsts = firsts.max((before as f64 * part) as u64);
-        let allowed = |ratio| firsts as f64 * ratio + slack;
-        Allowance { own: allowed(own), all: allowed(all) }
+        let requests = requests.max((before as f64 * fraction) as u64);
+        let allowed = |ratio| requests as f64 * ratio + slack;
+        Allowance { own: allowed(own), total: allowed(total) }
     }
 
-    /// First requests and calls of whole buckets between two moments.
+    /// Initial requests and calls in buckets that start within the span.
     fn count(&self, from: Millis, to: Millis) -> (u64, u64) {
-        let within = |b: &&Bucket| b.from >= from && b.from <= to;
+        let within = |b: &&Bucket| b.start >= from && b.start <= to;
         let within = self.buckets.iter().filter(within);
-        within.fold((0, 0), |(firsts, calls), bucket| {
-            (firsts + bucket.firsts, calls + bucket.calls)
+        within.fold((0, 0), |(requests, calls), bucket| {
+            (requests + bucket.requests, calls + bucket.calls)
         })
     }
 
+    /// The span of one bucket.
     fn width(&self) -> Millis {
-        Millis((self.config.window.0 / BUCKETS).max(1))
+        Millis((self.config.window.0 / BUCKETS_PER_WINDOW).max(1))
     }
 
-    /// What has come back to the burst since it was counted.
+    /// Retries returned to the burst since `spent_at`.
     fn accrued(&self, now: Millis, own: f64) -> f64 {
-        let span = now.since(self.counted).0 as f64;
+        let span = now.since(self.spent_at).0 as f64;
         own * span / self.config.window.0 as f64
     }
 
+    /// The bucket that counts events at `now`.
     fn bucket(&mut self, now: Millis) -> &mut Bucket {
         let window = self.config.window;
         let width = self.width();
         let kept = width + window + window;
-        let over = |bucket: &Bucket| bucket.from + kept < now;
-        while self.buckets.front().is_some_and(over) {
+        let expired = |bucket: &Bucket| bucket.start + kept < now;
+        while self.buckets.front().is_some_and(expired) {
             self.buckets.pop_front();
         }
         let fresh = match self.buckets.back() {
-            Some(newest) => now.since(newest.from) >= width,
+            Some(newest) => now.since(newest.start) >= width,
             None => true,
         };
         if fresh {
             self.buckets.push_back(Bucket {
-                from: now,
-                firsts: 0,
-                repeats: 0,
-                echoes: 0,
+                start: now,
+                requests: 0,
+                retries: 0,
+                nested: 0,
                 calls: 0,
             });
         }
-        self.buckets.back_mut().expect("one was pushed if none was there")
+        self.buckets.back_mut().expect("a bucket was pushed if there was none")
     }
 }
--- a/crates/walnutmoor-core/src/retry_state.rs
+++ b/crates/walnutmoor-core/src/retry_state.rs
@@ -1,140 +1,136 @@
 /*!
-Where a request may go next: which instances it has been sent to, and what
-they said.
-
-The load pattern: an instance turns away part of what it gets while its
-siblings are well, or all instances of a service turn away part of theirs. In
-the first case a sibling serves the request; in the second the same instance,
-asked again, is as likely to run it as any other, and is nearer. So an instance
-that turned a request away may be asked again, but counts as one that does so
-often until this node knows better.
-
-Two bounds hold. A request reaches no more instances than its route allows,
-however often each is asked. And one that may run only once goes no further
+The retry state of one request: which instances it was sent to, what they
+answered and where it may be sent next.
+
+If one instance rejects requests, a sibling can serve them. If all instances of
+a service reject some, the same instance is as likely to accept a retry as any
+other and is nearer. So an instance that rejected the request may be tried
+again, but the balancer assumes a high failure rate for it.
+
+Two limits hold. A request reaches no more instances than its route allows,
+however often each is tried. A request that is not idempotent is not retried
 once it may have run.
 
 # Example
 
 ```
-use walnutmoor_core::{retry_state::*, id::NodeId};
+use walnutmoor_core::{id::NodeId, retry_state::*};
 
 let id = |port| NodeId(([127, 0, 0, 1], port).into());
-let mut course = Course::new(1, true);
-assert_eq!(course.take(id(1), Word::TurnedAway), Step::Go);
-assert_eq!(course.scope().only, Some(&[id(1)][..]));
-assert_eq!(course.take(id(1), Word::Served), Step::Stop);
+let mut state = RetryState::new(1, true);
+assert_eq!(state.record(id(1), Outcome::InstanceRejected), Decision::Retry);
+assert_eq!(state.scope().only, Some(&[id(1)][..]));
+assert_eq!(state.record(id(1), Outcome::Served), Decision::Stop);
 ```
 */
 
 use crate::{id::NodeId, time::Millis};
 
-/// How often a request is sent at the most. With half of all requests turned
-/// away, one in 4,096 is turned away so often.
-const SENDS_MAX: u32 = 12;
+/// The number of times that a request is sent at most.
+const MAX_SENDS: u32 = 12;
 
-/// Gates that may say that repeats are used up before the request ends. All
-/// gates of a service run out at about the same time; the second may have
-/// had fewer repeats than the first.
-const DENIALS_MAX: u32 = 2;
+/// The number of nodes that may deny a retry for lack of budget before the
+/// request ends. All instances of a service exhaust their budgets at about the
+/// same time.
+const MAX_DENIALS: u32 = 2;
 
-/// The pause before an instance is asked again that has just turned the
-/// request away, for each earlier time. It keeps a request from spending its
-/// repeats on a moment in which the instance takes nothing.
-const PAUSE: Millis = Millis(3);
+/// The backoff per earlier rejection before an instance is tried again. It
+/// keeps a request from spending its retries while the instance is briefly
+/// full.
+const BACKOFF_STEP: Millis = Millis(3);
 
-/// What a node said of a request that was sent to it.
+/// The outcome of sending a request to a node.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Word {
-    /// Its instance ran it well, or failed it and no sibling is likely to
-    /// fare better.
+pub enum Outcome {
+    /// The instance ran it successfully, or failed it and no sibling is
+    /// likely to succeed.
     Served,
-    /// Its instance ran it and failed; a sibling may fare better.
+    /// The instance ran it and failed; a sibling may succeed.
     Failed,
-    /// Its instance may have run it.
+    /// The instance may have run it.
     Unknown,
-    /// Its instance got it and did not run it.
-    TurnedAway,
-    /// Its instance did not get it.
-    Refused,
-    /// Its instance did not get it, as its repeats are used up.
-    Denied,
+    /// The instance received it and rejected it without running it.
+    InstanceRejected,
+    /// The node rejected it before it reached the instance.
+    NodeRejected,
+    /// The node rejected it because its retry budget is exhausted.
+    BudgetExhausted,
 }
 
-/// The least status of an answer that tells of a failure.
-const FAILURE: u16 = 500;
+/// The lowest HTTP status that counts as a failure.
+const MIN_FAILURE_STATUS: u16 = 500;
 
-impl Word {
-    /// What an instance's answer says; `starved` tells whether the run lacked
-    /// a call that was turned away further down.
+impl Outcome {
+    /// The outcome of a response with this status; `starved` tells whether a
+    /// call that the run depended on was rejected.
     ///
-    /// The load pattern: a service deep in the graph turns work away, so runs
-    /// above it fail. A sibling would make the same calls to the same
-    /// service, and all of its calls count as repeats there: they take the
-    /// allowance from the calls that could still be saved by one.
-    pub fn of_answer(status: u16, starved: bool) -> Word {
-        match status >= FAILURE && !starved {
-            true => Word::Failed,
-            false => Word::Served,
+    /// A starved run is not worth a retry: a sibling would make the same calls
+    /// to the same overloaded service and use up its retry budget.
+    pub fn from_response(status: u16, starved: bool) -> Outcome {
+        match status >= MIN_FAILURE_STATUS && !starved {
+            true => Outcome::Failed,
+            false => Outcome::Served,
         }
     }
 }
 
-/// What to do next.
+/// Whether to send a request again.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Step {
+pub enum Decision {
     /// Choose an instance again.
-    Go,
-    /// End the request with what is known.
+    Retry,
+    /// End the request with the last outcome.
     Stop,
 }
 
-/// The instances among which the next one is chosen.
+/// Limits the instances from which the next one is chosen.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Scope<'a> {
-    /// Not these.
-    pub shut: &'a [NodeId],
-    /// Only these, once the route's bound is reached.
+    /// Instances that must not be chosen.
+    pub excluded: &'a [NodeId],
+    /// The only instances that may be chosen, once the route's limit is
+    /// reached.
     pub only: Option<&'a [NodeId]>,
-    /// These have turned the request away.
-    pub wary: &'a [NodeId],
-    /// How soon the request is given its final answer, if that is known.
-    pub due: Option<Millis>,
+    /// Instances that have rejected the request; one entry per rejection.
+    pub rejected_by: &'a [NodeId],
+    /// The time left until the request's deadline, if known.
+    pub time_left: Option<Millis>,
 }
 
 impl Scope<'_> {
     /// True if this node may be chosen.
     pub fn allows(&self, node: NodeId) -> bool {
         let within = self.only.is_none_or(|only| only.contains(&node));
-        within && !self.shut.contains(&node)
+        within && !self.excluded.contains(&node)
     }
 }
 
-/// The way of one request.
+/// The attempts of one request so far.
 #[derive(Clone, Debug)]
-pub struct Course {
-    attempts: usize,
-    again: bool,
+pub struct RetryState {
+    max_instances: usize,
+    idempotent: bool,
     tried: Vec<NodeId>,
-    shut: Vec<NodeId>,
+    excluded: Vec<NodeId>,
     reached: Vec<NodeId>,
-    wary: Vec<NodeId>,
+    rejected_by: Vec<NodeId>,
     arrivals: u32,
     runs: u32,
     denials: u32,
     may_have_run: bool,
 }
 
-impl Course {
-    /// The way of a request that may reach so many instances; `again` tells
-    /// whether it may run more than once.
-    pub fn new(attempts: u8, again: bool) -> Course {
-        Course {
-            attempts: usize::from(attempts),
-            again,
+impl RetryState {
+    /// Creates the state of a request that may reach this many instances and,
+    /// if `idempotent`, may run more than once.
+    pub fn new(max_instances: u8, idempotent: bool) -> RetryState {
+        RetryState {
+            max_instances: usize::from(max_instances),
+            idempotent,
             tried: Vec::new(),
-            shut: Vec::new(),
+            excluded: Vec::new(),
             reached: Vec::new(),
-            wary: Vec::new(),
+            rejected_by: Vec::new(),
             arrivals: 0,
             runs: 0,
             denials: 0,
@@ -142,94 +138,99 @@
         }
     }
 
-    /// The nodes that it was sent to, in order.
+    /// The nodes that the request was sent to, in order.
     pub fn tried(&self) -> &[NodeId] {
         &self.tried
     }
 
-    /// How often an instance got it, or may have got it.
+    /// How often the request reached an instance, or may have.
     pub fn arrivals(&self) -> u32 {
         self.arrivals
     }
 
-    /// How often an instance has run it, or may have.
+    /// How often an instance ran the request, or may have.
     pub fn runs(&self) -> u32 {
         self.runs
     }
 
-    /// True if an instance may have run it.
+    /// True if an instance may have run the request without serving it.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run
     }
 
-    /// Nothing could be sent to this node.
-    pub fn skip(&mut self, node: NodeId) {
-        self.shut.push(node);
+    /// Excludes a node to which the request could not be sent.
+    pub fn exclude(&mut self, node: NodeId) {
+        self.excluded.push(node);
     }
 
-    /// Nothing was heard from this node before the request's time was over.
-    pub fn give_up_on(&mut self, node: NodeId) {
+    /// Records that a node did not answer before the request's deadline.
+    pub fn record_timeout(&mut self, node: NodeId) {
         self.tried.push(node);
         self.runs += 1;
         self.may_have_run = true;
     }
 
-    /// Takes a node's word.
-    pub fn take(&mut self, node: NodeId, word: Word) -> Step {
+    /// Records the outcome of sending the request to a node.
+    pub fn record(&mut self, node: NodeId, outcome: Outcome) -> Decision {
         self.tried.push(node);
-        match word {
-            Word::Served => {
+        match outcome {
+            Outcome::Served => {
                 self.runs += 1;
-                return Step::Stop;
+                return Decision::Stop;
             }
-            Word::Refused => self.shut.push(node),
-            Word::Denied => {
-                self.shut.push(node);
+            Outcome::NodeRejected => self.excluded.push(node),
+            Outcome::BudgetExhausted => {
+                self.excluded.push(node);
                 self.denials += 1;
             }
-            Word::TurnedAway => {
-                self.arrive(node);
-                self.wary.push(node);
+            Outcome::InstanceRejected => {
+                self.record_arrival(node);
+                self.rejected_by.push(node);
             }
-            Word::Failed | Word::Unknown => {
-                self.arrive(node);
-                self.shut.push(node);
+            Outcome::Failed | Outcome::Unknown => {
+                self.record_arrival(node);
+                self.excluded.push(node);
                 self.runs += 1;
                 self.may_have_run = true;
             }
         }
-        let settled = self.may_have_run && !self.again;
-        let full = self.reached.len() >= self.attempts;
-        let spent = full && self.reached.iter().all(|n| self.is_shut(*n));
-        let over = self.tried.len() >= SENDS_MAX as usize;
-        match settled || spent || over || self.denials >= DENIALS_MAX {
-            true => Step::Stop,
-            false => Step::Go,
+        let must_not_rerun = self.may_have_run && !self.idempotent;
+        let full = self.reached.len() >= self.max_instances;
+        let exhausted =
+            full && self.reached.iter().all(|n| self.is_excluded(*n));
+        let too_many_sends = self.tried.len() >= MAX_SENDS as usize;
+        match must_not_rerun
+            || exhausted
+            || too_many_sends
+            || self.denials >= MAX_DENIALS
+        {
+            true => Decision::Stop,
+            false => Decision::Retry,
         }
     }
 
-    /// Among whom the next instance is chosen.
+    /// The limits on the choice of the next instance.
     pub fn scope(&self) -> Scope<'_> {
-        let full = self.reached.len() >= self.attempts;
+        let full = self.reached.len() >= self.max_instances;
         Scope {
-            shut: &self.shut,
+            excluded: &self.excluded,
             only: full.then_some(&self.reached[..]),
-            wary: &self.wary,
-            due: None,
+            rejected_by: &self.rejected_by,
+            time_left: None,
         }
     }
 
-    /// How long to wait before this node is asked.
-    pub fn pause(&self, node: NodeId) -> Millis {
-        let before = self.wary.iter().filter(|n| **n == node).count();
-        Millis(PAUSE.0 * before as u64)
+    /// How long to wait before sending the request to this node.
+    pub fn backoff(&self, node: NodeId) -> Millis {
+        let before = self.rejected_by.iter().filter(|n| **n == node).count();
+        Millis(BACKOFF_STEP.0 * before as u64)
     }
 
-    fn is_shut(&self, node: NodeId) -> bool {
-        self.shut.contains(&node)
+    fn is_excluded(&self, node: NodeId) -> bool {
+        self.excluded.contains(&node)
     }
 
-    fn arrive(&mut self, node: NodeId) {
+    fn record_arrival(&mut self, node: NodeId) {
         self.arrivals += 1;
         if !self.reached.contains(&node) {
             self.reached.push(node);
--- a/crates/walnutmoor-core/src/table.rs
+++ b/crates/walnutmoor-core/src/table.rs
@@ -1,10 +1,10 @@
 /*!
-The table of routes: which class of work a request is, and where it goes.
+The route table: matches requests to routes and splits traffic over services.
 
-A request is matched by its host and the longest prefix of its path. A route
-says what may be repeated, how long a caller is kept waiting, how urgent it
-is, and to which service or services it goes. The client accounts of the same
-desired state come with it.
+A request is matched by its host and the longest matching path prefix. Its
+route says whether it may be retried, its timeout and priority, and the
+services that serve it. The table also holds the client accounts and limits of
+the same desired state.
 
 # Example
 
@@ -18,7 +18,7 @@
     prefix: "/search/".into(),
     effect: Effect::Idempotent,
     timeout: Millis(1_200),
-    target: Millis(600),
+    target_latency: Millis(600),
     priority: 2,
     attempts: 2,
     is_public: false,
@@ -41,80 +41,79 @@
     time::Millis,
 };
 
-/// What repeating a request does.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum Effect {
-    /// Nothing more: it may run again.
+    /// It may be retried after it may have run.
     Idempotent,
-    /// Harm: it runs once at most.
+    /// It must run at most once.
     Once,
 }
 
-/// One service of a route, and its share.
+/// A service of a route and its share of the traffic.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Target {
     /// The service.
     pub service: Service,
-    /// Its part of the sum of all weights.
+    /// The weight, relative to the sum of the route's weights.
     pub weight: u32,
 }
 
-/// One class of work.
+/// The handling of the requests that match a host and a path prefix.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Route {
-    /// What the operator calls it.
+    /// The name that the operator gave it.
     pub name: String,
     /// The host, in lower case.
     pub host: String,
-    /// The beginning of the path.
+    /// The path prefix.
     pub prefix: String,
-    /// Whether it may run again.
+    /// Whether requests may run more than once.
     pub effect: Effect,
-    /// How long a caller is kept waiting at most.
+    /// The longest time that a caller waits for an answer.
     pub timeout: Millis,
-    /// The time within which an answer is worth most.
-    pub target: Millis,
-    /// Its rank; 0 is the most urgent.
+    /// The target latency.
+    pub target_latency: Millis,
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// How many instances one attempt may reach.
+    /// The number of instances that one attempt may reach.
     pub attempts: u8,
     /// True if callers need no key.
     pub is_public: bool,
-    /// Where it goes.
+    /// The services that serve the route.
     pub targets: Vec<Target>,
 }
 
-/// What is known of a service.
+/// The settings of a service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Spec {
     /// The path of its health check.
-    pub health: String,
-    /// Connections that one instance accepts.
-    pub connections: u32,
+    pub health_path: String,
+    /// The number of connections that one instance accepts.
+    pub max_connections: u32,
 }
 
-/// What a caller may send, and how long it may take.
+/// The limits on a caller's requests and connections.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Bytes of a request's head.
-    pub head: usize,
-    /// Bytes of a request's body.
-    pub body: usize,
-    /// How long a head may take to arrive.
-    pub head_time: Millis,
-    /// How long a connection may lie idle.
-    pub idle: Millis,
+    /// The size of a request's head, in bytes.
+    pub max_head_bytes: usize,
+    /// The size of a request's body, in bytes.
+    pub max_body_bytes: usize,
+    /// The time within which a request's head must arrive.
+    pub head_timeout: Millis,
+    /// The time after which an idle connection is closed.
+    pub idle_timeout: Millis,
 }
 
 impl Default for Limits {
-    /// What holds while the operator sets none: the sizes that common
-    /// servers allow.
+    /// The limits that apply if the operator sets none.
     fn default() -> Limits {
         Limits {
-            head: 16 << 10,
-            body: 1 << 20,
-            head_time: Millis(5_000),
-            idle: Millis(60_000),
+            max_head_bytes: 16 << 10,
+            max_body_bytes: 1 << 20,
+            head_timeout: Millis(5_000),
+            idle_timeout: Millis(60_000),
         }
     }
 }
@@ -122,24 +121,24 @@
 /// All routes of one desired state.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    /// The operator's number for it.
+    /// The version of the operator's desired state.
     pub version: Version,
     /// Limits on callers.
     pub limits: Limits,
-    /// Client accounts; none if everybody may call.
+    /// The client accounts; empty if no key is needed.
     pub accounts: account::Directory,
     hosts: Map<String, Vec<Arc<Route>>>,
     services: Map<Service, Spec>,
 }
 
 impl Table {
-    /// A table without routes.
+    /// Creates a table without routes.
     pub fn new(version: Version) -> Table {
         Table { version, ..Table::default() }
     }
 
-    /// Adds a route. Those of a host are kept longest prefix first, so that
-    /// the first that matches is the one.
+    /// Adds a route. The routes of a host are sorted by descending length of
+    /// prefix, so that the first match is the longest.
     pub fn push(&mut self, route: Route) {
         let routes = self.hosts.entry(route.host.clone()).or_default();
         let len = route.prefix.len();
@@ -147,17 +146,17 @@
         routes.insert(at, Arc::new(route));
     }
 
-    /// Says what a service is.
+    /// Sets the settings of a service.
     pub fn set_service(&mut self, service: Service, spec: Spec) {
         self.services.insert(service, spec);
     }
 
-    /// What is known of a service.
+    /// The settings of a service, if it has any.
     pub fn service(&self, service: &Service) -> Option<&Spec> {
         self.services.get(service)
     }
 
-    /// The route of a request.
+    /// The route of a request. The host may include a port.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.hosts.get(host) {
@@ -167,20 +166,18 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Every route, in no order.
+    /// All routes, in arbitrary order.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.hosts.values().flatten()
     }
 }
 
-/// Deals the requests of each split out in the exact proportions of its
-/// weights.
+/// Splits the requests of each route over its services by smooth weighted
+/// round robin.
 ///
-/// Random draws would be off by a tenth after a few hundred requests; this
-/// one is off by one request at most, on each node by itself. Each node begins
-/// somewhere else in the sequence: on many nodes that get a few requests each,
-/// the heaviest part would otherwise get nearly all of them after each change.
-/// Of 400 nodes' first requests a part of 0.3 got none.
+/// The split is exact to one request on each node. Nodes start at different
+/// positions in the sequence; otherwise the heaviest target would get nearly
+/// all of the first requests after a change.
 #[derive(Debug, Default)]
 pub struct Splitter {
     seed: Option<u64>,
@@ -188,19 +185,18 @@
 }
 
 impl Splitter {
-    /// A splitter that has dealt nothing.
+    /// Creates a splitter that starts at the beginning of the sequence.
     pub fn new() -> Splitter {
         Splitter::default()
     }
 
-    /// The splitter of one of many nodes, which begins somewhere else in the
-    /// sequence.
+    /// Creates a splitter that starts at a position derived from the seed.
     pub fn seeded(seed: u64) -> Splitter {
         Splitter { seed: Some(seed), ..Splitter::default() }
     }
 
-    /// The service that the next request of a route goes to. `None` if the
-    /// route goes nowhere.
+    /// The service that gets the next request of a route. `None` if the route
+    /// has no targets.
     pub fn pick(&mut self, route: &Route) -> Option<Service> {
         let targets = &route.targets;
         if targets.len() <= 1 {
@@ -208,10 +204,10 @@
         }
         let known = self.credits.get_mut(&route.name);
         let at = match known.filter(|c| c.len() == targets.len()) {
-            Some(credits) => deal(credits, targets),
+            Some(credits) => pick_weighted(credits, targets),
             None => {
-                let mut credits = self.begin(route);
-                let at = deal(&mut credits, targets);
+                let mut credits = self.initial_credits(route);
+                let at = pick_weighted(&mut credits, targets);
                 self.credits.insert(route.name.clone(), credits);
                 at
             }
@@ -219,33 +215,32 @@
         Some(targets[at?].service.clone())
     }
 
-    /// Where the sequence of a route begins. It repeats after as many picks
-    /// as the weights add up to.
-    fn begin(&self, route: &Route) -> Vec<i64> {
+    /// The credits at the start position of a route. The sequence repeats
+    /// after as many picks as the sum of the weights.
+    fn initial_credits(&self, route: &Route) -> Vec<i64> {
         let mut credits = vec![0; route.targets.len()];
         let sum: u64 = route.targets.iter().map(|t| u64::from(t.weight)).sum();
         if let (Some(seed), 1..) = (self.seed, sum) {
             let skipped = digest::of(&(seed, &route.name)) % sum;
-            for _ in 0..skipped.min(SKIPPED_MAX) {
-                deal(&mut credits, &route.targets);
+            for _ in 0..skipped.min(MAX_SKIPPED_PICKS) {
+                pick_weighted(&mut credits, &route.targets);
             }
         }
         credits
     }
 
-    /// Forgets routes that a new table no longer has, and old proportions.
+    /// Drops all state, for use with a new table.
     pub fn reset(&mut self) {
         self.credits.clear();
     }
 }
 
-/// Picks that are skipped at the beginning at most; weights commonly add up
-/// to a hundred, and this many take some microseconds.
-const SKIPPED_MAX: u64 = 1_000;
+/// The longest skip to a start position, which bounds its cost.
+const MAX_SKIPPED_PICKS: u64 = 1_000;
 
-/// Each target earns its weight per request; the richest is chosen and pays
-/// the sum.
-fn deal(credits: &mut [i64], targets: &[Target]) -> Option<usize> {
+/// One step of smooth weighted round robin: each target gains its weight in
+/// credits, and the one with the most is chosen and pays the sum.
+fn pick_weighted(credits: &mut [i64], targets: &[Target]) -> Option<usize> {
     let mut sum = 0;
     for (credit, target) in credits.iter_mut().zip(targets) {
         *credit += i64::from(target.weight);
--- a/crates/walnutmoor-core/src/throttle.rs
+++ b/crates/walnutmoor-core/src/throttle.rs
@@ -33,9 +33,9 @@
     throttle.ended("claims", 0, Ended::Served);
     throttle.ended("lookups", 2, Ended::Starved);
 }
-let pressed = true;
+let shedding = true;
 let none = Pressure::default();
-throttle.step(Pressure { demand: 1.5, urgent: 0.8, pressed, ..none });
+throttle.step(Pressure { demand: 1.5, urgent: 0.8, shedding, ..none });
 assert!(!throttle.admits("lookups", false, 0.99));
 assert!(throttle.admits("claims", false, 0.99));
 ```
@@ -51,7 +51,7 @@
     balance::{Pressure, Pressures},
     digest::Map,
     footprint::{Footprint, Key},
-    retry_budget::Asker,
+    retry_budget::Priority,
 };
 
 /// How a request ended that was let in.
@@ -146,7 +146,7 @@
 
     /// True if a request that may run only once is likely to come to its
     /// end: by itself, or with the repeats that are left for it.
-    pub fn carries(&self, route: &str, asker: Asker) -> bool {
+    pub fn carries(&self, route: &str, asker: Priority) -> bool {
         let gauge = self.routes.get(route);
         gauge.is_none_or(|g| g.cover.is_enough(&self.services, asker))
     }
@@ -232,7 +232,7 @@
         let hidden = self.hidden(pressure);
         for gauge in self.routes.values_mut() {
             let fails = gauge.failing() > SHARES_AT;
-            if (pressure.pressed && fails) || gauge.open < 1.0 {
+            if (pressure.shedding && fails) || gauge.open < 1.0 {
                 gauge.shares = FORGET;
             }
             gauge.shares = gauge.shares.saturating_sub(1);
@@ -266,7 +266,7 @@
     fn hidden(&self, pressure: Pressure) -> f64 {
         let shares = self.routes.values().filter(|gauge| gauge.shares > 0);
         let failing = shares.map(Gauge::failing).fold(0.0, f64::max);
-        let full = pressure.pressed && pressure.demand > FULL_AT;
+        let full = pressure.shedding && pressure.demand > FULL_AT;
         match full && failing > HIDES_AT {
             true => CUT_AT + failing * HIDDEN,
             false => 0.0,
--- a/crates/walnutmoor-core/src/throttle/cover.rs
+++ b/crates/walnutmoor-core/src/throttle/cover.rs
@@ -16,7 +16,7 @@
 use crate::{
     digest::Map,
     footprint::{Footprint, Key},
-    retry_budget::Asker,
+    retry_budget::Priority,
 };
 
 /// The chance to end without any repeat from which a request is let in
@@ -72,10 +72,16 @@
     }
 
     /// True if this request is likely to come to its end.
-    pub(super) fn is_enough(&self, services: &Services, asker: Asker) -> bool {
+    pub(super) fn is_enough(
+        &self,
+        services: &Services,
+        asker: Priority,
+    ) -> bool {
         let spent = self.spent(services);
         let left = (1.0 - spent) * DEALT;
-        spent == 0.0 || asker.needs() <= left || asker.is_among(FLOOR)
+        spent == 0.0
+            || asker.required_burst() <= left
+            || asker.is_within(FLOOR)
     }
 
     /// The part of the repeats that is spent where one is likely to be
--- a/crates/walnutmoor-core/src/throttle/gauge.rs
+++ b/crates/walnutmoor-core/src/throttle/gauge.rs
@@ -173,9 +173,9 @@
 /// What is asked for directly is counted up to its reserve. Otherwise the whole
 /// reserve would be kept free, where few ask directly as well.
 fn factor(pressure: &Pressure, demand: f64) -> f64 {
-    let all = demand * bulkhead::room(1);
-    let urgent = pressure.urgent * bulkhead::room(URGENT_RESERVES);
-    let room = 1.0 - pressure.direct.min(KEPT);
+    let all = demand * bulkhead::unreserved_share(1);
+    let urgent = pressure.urgent * bulkhead::unreserved_share(URGENT_RESERVES);
+    let room = 1.0 - pressure.least_urgent.min(KEPT);
     let supply = (AIM * room - urgent).max(KEPT);
     supply / (all - urgent).max(LEAST)
 }
--- a/crates/walnutmoor-core/src/time.rs
+++ b/crates/walnutmoor-core/src/time.rs
@@ -1,9 +1,9 @@
 /*!
-Time as the core sees it: whole milliseconds on the owner's monotonic clock.
+Time in whole milliseconds of a node's monotonic clock.
 
-The core never reads a clock. Whoever drives it passes the current time with
-each event. Times of two nodes are never compared: what travels between nodes
-is always a span that is left, never an instant.
+This crate never reads a clock; its caller passes the current time with each
+event. Instants of different nodes are never compared: nodes exchange only the
+time left.
 
 # Example
 
@@ -24,7 +24,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// An instant or a span, in milliseconds.
+/// An instant or a duration, in milliseconds.
 #[derive(
     Clone,
     Copy,
@@ -42,15 +42,16 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// An instant that no clock reaches.
+    /// An instant that is never reached.
     pub const NEVER: Millis = Millis(u64::MAX);
 
-    /// The span from `earlier` to this instant, zero if it lies ahead.
+    /// The duration since `earlier`, or zero if `earlier` is later than this
+    /// instant.
     pub fn since(self, earlier: Millis) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// This span in seconds.
+    /// This duration in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1000.0
     }
@@ -84,7 +85,7 @@
     }
 }
 
-/// A span that was not written as a number with the unit `ms`, `s` or `m`.
+/// A duration that is not a whole number with the unit `ms`, `s` or `m`.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("`{0}` is not a span: write a number and a unit, as in 250ms or 2s")]
 pub struct ParseError(String);
--- a/crates/walnutmoor-core/tests/balance.rs
+++ b/crates/walnutmoor-core/tests/balance.rs
@@ -1,7 +1,7 @@
-//! The choice of an instance.
+//! Load balancing over instances.
 
 use walnutmoor_core::{
-    balance::{Balance, Choice, Want},
+    balance::{Balancer, Choice, Pick},
     bulkhead::Load,
     id::{NodeId, Service},
     retry_state::Scope,
@@ -16,19 +16,19 @@
     "desk".parse().unwrap()
 }
 
-fn load(takes: u16, wait: u16) -> Load {
+fn load(run_time: u16, wait: u16) -> Load {
     Load {
         accepting: true,
         waits: [wait; 4],
-        takes: [takes; 4],
+        run_times: [run_time; 4],
         limit: 10,
         ..Load::default()
     }
 }
 
-/// Node 1 in the own zone, nodes 2 and 3 in another.
-fn balance() -> Balance {
-    let mut balance = Balance::new("a".parse().unwrap());
+/// Node 1 in the local zone, nodes 2 and 3 in a remote one.
+fn balance() -> Balancer {
+    let mut balance = Balancer::new("a".parse().unwrap());
     for (port, zone) in [(1, "a"), (2, "b"), (3, "b")] {
         balance.join(id(port), &desk(), &zone.parse().unwrap());
         balance.report(id(port), load(20, 0));
@@ -36,15 +36,16 @@
     balance
 }
 
-fn choose(balance: &mut Balance, tried: &[NodeId]) -> Choice {
+fn choose(balance: &mut Balancer, tried: &[NodeId]) -> Choice {
     let service = desk();
     let target = Millis(400);
-    let want = Want { service: &service, priority: 0, target, again: true };
-    balance.choose(Millis(0), want, tried)
+    let pick =
+        Pick { service: &service, priority: 0, target, idempotent: true };
+    balance.choose(Millis(0), pick, tried)
 }
 
 #[test]
-fn the_own_zone_is_kept_while_it_costs_little() {
+fn the_local_zone_is_preferred_while_it_costs_little_more() {
     let mut balance = balance();
     balance.report(id(1), load(100, 0));
 
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn a_long_wait_drives_work_out_of_the_zone() {
+fn a_long_queue_sends_requests_to_another_zone() {
     let mut balance = balance();
     balance.report(id(1), load(20, 300));
 
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn what_was_sent_since_the_last_report_counts() {
+fn requests_sent_since_the_last_report_count() {
     let mut balance = balance();
     balance.report(id(1), Load { held: 10, ..load(200, 0) });
 
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn an_instance_that_fails_gets_less_and_is_tried_again() {
+fn a_failing_instance_is_avoided_until_it_recovers() {
     let mut balance = balance();
     for _ in 0..40 {
         balance.done(id(1), Some(true));
@@ -86,9 +87,9 @@
 }
 
 #[test]
-fn a_second_try_helps_only_where_a_sibling_fails_less() {
+fn a_retry_helps_only_if_a_sibling_fails_less() {
     let mut balance = balance();
-    assert!(balance.may_help(id(1)));
+    assert!(balance.retry_may_succeed(id(1)));
 
     for port in 1..=3 {
         for _ in 0..40 {
@@ -96,11 +97,11 @@
         }
     }
 
-    assert!(!balance.may_help(id(1)));
+    assert!(!balance.retry_may_succeed(id(1)));
 }
 
 #[test]
-fn who_is_down_or_takes_nothing_is_left_out() {
+fn unreachable_and_closed_instances_are_not_chosen() {
     let mut balance = balance();
     balance.down(id(1), Millis::NEVER);
     balance.report(id(2), Load { accepting: false, ..load(20, 0) });
@@ -121,17 +122,17 @@
     assert_eq!(known, Some((id(1), &board)));
 }
 
-/// How many of many requests an instance gets.
-fn share(balance: &mut Balance, node: NodeId, again: bool) -> usize {
+/// How many of 3,200 requests an instance gets.
+fn share(balance: &mut Balancer, node: NodeId, idempotent: bool) -> usize {
     let service = desk();
     let target = Millis(400);
-    let want = Want { service: &service, priority: 0, target, again };
-    let choices = (0..3_200).map(|_| balance.choose(Millis(0), want, &[]));
+    let pick = Pick { service: &service, priority: 0, target, idempotent };
+    let choices = (0..3_200).map(|_| balance.choose(Millis(0), pick, &[]));
     choices.filter(|choice| *choice == Choice::Send(node)).count()
 }
 
 #[test]
-fn an_instance_that_was_slow_gets_enough_to_show_that_it_is_not() {
+fn a_slow_instance_is_still_probed() {
     let mut balance = balance();
     balance.report(id(1), load(3_000, 0));
 
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn one_that_fails_is_explored_only_with_what_may_run_again() {
+fn a_failing_instance_is_probed_only_with_idempotent_requests() {
     let mut balance = balance();
     for _ in 0..60 {
         balance.done(id(1), Some(true));
@@ -151,41 +152,42 @@
     assert!(share(&mut balance, id(1), true) > 20);
 }
 
-/// A choice for a request that is given its final answer this soon.
-fn choose_due(balance: &mut Balance, due: Millis) -> Choice {
+/// Chooses an instance for a request with this much time left.
+fn choose_with_time_left(balance: &mut Balancer, time_left: Millis) -> Choice {
     let service = desk();
     let target = Millis(1_500);
-    let want = Want { service: &service, priority: 0, target, again: false };
-    let scope = Scope { due: Some(due), ..Scope::default() };
-    balance.choose_within(Millis(0), want, &scope)
+    let pick =
+        Pick { service: &service, priority: 0, target, idempotent: false };
+    let scope = Scope { time_left: Some(time_left), ..Scope::default() };
+    balance.choose_within(Millis(0), pick, &scope)
 }
 
 #[test]
-fn one_whose_long_runs_would_miss_the_timeout_is_left_for_another_zone() {
+fn another_zone_is_chosen_if_long_runs_would_time_out_locally() {
     let mut balance = balance();
     balance.report(id(1), load(300, 0));
 
-    let tight = choose_due(&mut balance, Millis(800));
-    let ample = choose_due(&mut balance, Millis(5_000));
+    let tight = choose_with_time_left(&mut balance, Millis(800));
+    let ample = choose_with_time_left(&mut balance, Millis(5_000));
 
     assert_ne!(tight, Choice::Send(id(1)));
     assert_eq!(ample, Choice::Send(id(1)));
 }
 
 #[test]
-fn where_long_runs_miss_the_timeout_everywhere_the_zone_is_kept() {
+fn the_local_zone_is_kept_if_long_runs_time_out_everywhere() {
     let mut balance = balance();
     for port in 1..=3 {
         balance.report(id(port), load(300, 0));
     }
 
-    let choice = choose_due(&mut balance, Millis(800));
+    let choice = choose_with_time_left(&mut balance, Millis(800));
 
     assert_eq!(choice, Choice::Send(id(1)));
 }
 
 #[test]
-fn one_whose_run_time_is_not_known_yet_is_not_taken_for_the_fastest() {
+fn an_instance_without_a_run_time_does_not_look_the_fastest() {
     let mut balance = balance();
     balance.report(id(1), load(10, 0));
     balance.join(id(4), &desk(), &"a".parse().unwrap());
@@ -196,9 +198,9 @@
     assert!((20..=200).contains(&got), "{got} of 3,200");
 }
 
-/// Many instances, of which this node has used only the first few.
-fn wide(used: u16, failing: impl Fn(u16) -> bool) -> Balance {
-    let mut balance = Balance::new("a".parse().unwrap());
+/// A service of 34 instances, of which this node has used only the first few.
+fn large_service(used: u16, failing: impl Fn(u16) -> bool) -> Balancer {
+    let mut balance = Balancer::new("a".parse().unwrap());
     for port in 1..=34 {
         balance.join(id(port), &desk(), &"a".parse().unwrap());
         balance.report(id(port), load(20, 0));
@@ -212,23 +214,23 @@
 }
 
 #[test]
-fn siblings_that_were_never_used_are_not_taken_to_be_sound() {
-    let balance = wide(4, |_| true);
+fn unused_siblings_do_not_count_as_healthy() {
+    let balance = large_service(4, |_| true);
 
-    assert!(!balance.may_help(id(1)));
+    assert!(!balance.retry_may_succeed(id(1)));
 }
 
 #[test]
-fn one_sound_sibling_among_many_helps() {
-    let balance = wide(4, |port| port < 4);
+fn one_healthy_sibling_is_enough_for_a_retry() {
+    let balance = large_service(4, |port| port < 4);
 
-    assert!(balance.may_help(id(1)));
+    assert!(balance.retry_may_succeed(id(1)));
 }
 
 #[test]
-fn the_first_failure_at_a_node_that_knows_little_may_be_tried_elsewhere() {
-    let mut balance = wide(0, |_| false);
+fn the_first_failure_may_be_retried_without_evidence() {
+    let mut balance = large_service(0, |_| false);
     balance.done(id(1), Some(true));
 
-    assert!(balance.may_help(id(1)));
+    assert!(balance.retry_may_succeed(id(1)));
 }
--- a/crates/walnutmoor-core/tests/bulkhead.rs
+++ b/crates/walnutmoor-core/tests/bulkhead.rs
@@ -1,6 +1,5 @@
-//! The bulkhead against an oracle that knows only ids: nothing is lost,
-//! nothing runs twice, no more runs than the limit, and no work starts while
-//! more urgent work waits, but for the reserve.
+//! The bulkhead against an oracle that tracks only ids: nothing is lost,
+//! nothing runs twice and no more runs than the limit.
 
 use std::collections::BTreeMap;
 
@@ -23,12 +22,12 @@
     Offer { priority: u8, left: u64 },
     Finish(usize),
     Cancel(usize),
-    Pass(u64),
+    Advance(u64),
     Close,
     Open,
 }
 
-/// What a driver knows: the time, and how many calls it has made.
+/// The time and the number of calls made.
 #[derive(Clone, Debug, Default)]
 struct Model {
     now: u64,
@@ -49,7 +48,7 @@
                 .prop_map(|(priority, left)| Step::Offer { priority, left }),
             4 => (0..4usize).prop_map(Step::Finish),
             1 => (0..8usize).prop_map(Step::Cancel),
-            3 => (0..80u64).prop_map(Step::Pass),
+            3 => (0..80u64).prop_map(Step::Advance),
             1 => Just(Step::Close),
             1 => Just(Step::Open),
         ]
@@ -59,7 +58,7 @@
     fn apply(mut state: Model, step: &Step) -> Model {
         match step {
             Step::Offer { .. } => state.next += 1,
-            Step::Pass(span) => state.now += span,
+            Step::Advance(span) => state.now += span,
             _ => {}
         }
         state
@@ -73,18 +72,18 @@
 }
 
 impl Sut {
-    fn drive(&mut self, now: Millis) {
+    fn run_pending(&mut self, now: Millis) {
         while let Some(next) = self.bulkhead.next(now) {
             let id = match next {
                 Next::Run(id) => id,
                 Next::Full(id, _) | Next::Closed(id) => {
                     let gone = self.waiting.remove(&id);
-                    assert!(gone.is_some(), "{id} did not wait");
+                    assert!(gone.is_some(), "{id} was not queued");
                     continue;
                 }
             };
             let work = self.waiting.remove(&id);
-            assert!(work.is_some(), "{id} did not wait");
+            assert!(work.is_some(), "{id} was not queued");
             self.running.push(id);
         }
     }
@@ -122,7 +121,7 @@
             Step::Finish(at) if at < this.running.len() => {
                 let id = this.running.remove(at);
                 this.bulkhead.finish(now, id, true);
-                this.drive(now);
+                this.run_pending(now);
             }
             Step::Finish(_) => {}
             Step::Cancel(at) => {
@@ -133,11 +132,14 @@
                     assert!(!this.bulkhead.cancel(id));
                 }
             }
-            Step::Pass(_) => this.drive(now),
+            Step::Advance(_) => this.run_pending(now),
             Step::Close => {
                 this.bulkhead.close();
-                this.drive(now);
-                assert!(this.waiting.is_empty(), "work waits for nobody");
+                this.run_pending(now);
+                assert!(
+                    this.waiting.is_empty(),
+                    "work is still queued after close"
+                );
             }
             Step::Open => this.bulkhead.open(SLOTS),
         }
@@ -174,7 +176,7 @@
     Work { id, priority, target: TARGET, deadline, moved: false }
 }
 
-/// A bulkhead of one slot, in which call 0 runs and runs take 10 ms.
+/// A bulkhead with one slot, which call 0 occupies, and run times of 10 ms.
 fn busy() -> Bulkhead {
     let mut bulkhead = Bulkhead::new();
     bulkhead.open(1);
@@ -188,7 +190,7 @@
 }
 
 #[test]
-fn the_most_urgent_goes_first_and_among_equals_the_one_with_least_time() {
+fn work_is_served_by_rank_and_then_by_deadline() {
     let mut bulkhead = busy();
 
     for (id, priority, left) in [(1, 3, 500), (2, 0, 800), (3, 0, 700)] {
@@ -209,7 +211,7 @@
 }
 
 #[test]
-fn work_that_would_wait_long_is_refused_on_arrival() {
+fn work_that_would_wait_long_is_rejected_on_arrival() {
     let mut bulkhead = busy();
 
     let mut full = 0;
@@ -218,15 +220,15 @@
         full += usize::from(matches!(offer, Offer::Full { .. }));
     }
 
-    // An eighth of 400 ms is 50 ms, which is five runs of 10 ms.
+    // An eighth of 400 ms allows five runs of 10 ms.
     assert_eq!(bulkhead.waiting(), 5);
     assert_eq!(full, 34);
 }
 
 #[test]
-fn work_with_little_time_left_takes_the_place_of_work_with_much() {
+fn work_with_an_early_deadline_displaces_work_with_a_late_one() {
     let mut bulkhead = busy();
-    // What waits longer than a seventh of its target of 300 ms is refused.
+    // Work that waits longer than 0.15 of its target of 300 ms is rejected.
     let late = Work { target: Millis(300), ..work(50, 2, 700) };
     let mut waiting = Vec::new();
     for id in 20..40 {
@@ -259,7 +261,7 @@
 
     bulkhead.finish(Millis(5), CallId(0), true);
 
-    // Rank 2 holds none of its two slots, so it goes before rank 1.
+    // Rank 2 uses none of its reserved slots, so it is served before rank 1.
     let next = bulkhead.next(Millis(5));
     assert_eq!(next, Some(Next::Run(CallId(50))));
 }
@@ -275,19 +277,19 @@
 }
 
 #[test]
-fn urgent_work_turned_away_shows_as_pressure_for_a_while() {
+fn rejections_of_urgent_work_are_reported_as_shedding_for_a_while() {
     let mut bulkhead = busy();
 
     for id in 1..60 {
         bulkhead.offer(Millis(10), work(id, 1, 900));
     }
 
-    assert!(bulkhead.load(Millis(20)).pressed);
-    assert!(!bulkhead.load(Millis(1_500)).pressed);
+    assert!(bulkhead.load(Millis(20)).shedding);
+    assert!(!bulkhead.load(Millis(1_500)).shedding);
 }
 
 #[test]
-fn work_that_can_not_end_in_time_any_more_is_turned_away_at_once() {
+fn queued_work_that_would_miss_its_deadline_is_rejected() {
     let mut bulkhead = Bulkhead::new();
     bulkhead.open(1);
     let work = |id, deadline| Work {
@@ -297,7 +299,7 @@
         deadline: Millis(deadline),
         moved: false,
     };
-    // A run takes 400 ms.
+    // Sets the run time to 400 ms.
     assert_eq!(bulkhead.offer(Millis(0), work(1, 9_000)), Offer::Run);
     bulkhead.finish(Millis(400), CallId(1), true);
     assert_eq!(bulkhead.offer(Millis(500), work(2, 9_000)), Offer::Run);
--- a/crates/walnutmoor-core/tests/lifetime.rs
+++ b/crates/walnutmoor-core/tests/lifetime.rs
@@ -1,12 +1,12 @@
-//! What a node believes of its instance: directed cases, and drawn histories
+//! Tracking an instance's lifetimes: directed cases, and random histories
 //! against an oracle.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use walnutmoor_core::lifetime::{Belief, Born, Lifetime, Report};
+use walnutmoor_core::lifetime::{Lifetime, Report, StartTime, Tracker};
 
-fn life(id: &str, born: u64) -> Lifetime {
-    Lifetime::new(id, Some(Born(born)))
+fn life(id: &str, started_at: u64) -> Lifetime {
+    Lifetime::new(id, Some(StartTime(started_at)))
 }
 
 fn report(lifetime: &Lifetime, sequence: u64, ready: bool) -> Report {
@@ -14,98 +14,98 @@
 }
 
 #[test]
-fn a_start_under_the_same_id_counts_anew() {
+fn a_restart_under_the_same_id_is_a_new_lifetime() {
     let (first, second) = (life("i-1", 100), life("i-1", 200));
-    let mut belief = Belief::new();
-    belief.report(&report(&first, 50, true));
-    belief.report(&report(&first, 51, false));
+    let mut tracker = Tracker::new();
+    tracker.report(&report(&first, 50, true));
+    tracker.report(&report(&first, 51, false));
 
-    belief.report(&report(&second, 0, true));
+    tracker.report(&report(&second, 0, true));
 
-    assert!(belief.is_ready());
-    assert_eq!(belief.known().unwrap().lifetime, second);
-    assert_eq!(belief.known().unwrap().sequence, 0);
+    assert!(tracker.is_ready());
+    assert_eq!(tracker.current().unwrap().lifetime, second);
+    assert_eq!(tracker.current().unwrap().sequence, 0);
 }
 
 #[test]
-fn nothing_late_of_a_former_lifetime_changes_anything() {
+fn late_reports_of_a_former_lifetime_are_ignored() {
     let (first, second) = (life("i-1", 100), life("i-1", 200));
-    let mut belief = Belief::new();
-    belief.report(&report(&first, 5, true));
-    belief.report(&report(&second, 1, true));
-    let before = belief.known().cloned();
+    let mut tracker = Tracker::new();
+    tracker.report(&report(&first, 5, true));
+    tracker.report(&report(&second, 1, true));
+    let before = tracker.current().cloned();
 
-    assert!(!belief.report(&report(&first, 9, false)).has_changed());
-    assert!(!belief.leave(&first).has_changed());
+    assert!(!tracker.report(&report(&first, 9, false)).has_changed());
+    assert!(!tracker.leave(&first).has_changed());
 
-    assert_eq!(belief.known().cloned(), before);
+    assert_eq!(tracker.current().cloned(), before);
 }
 
 #[test]
-fn a_node_that_begins_between_two_lifetimes_ends_with_the_later_one() {
+fn reports_of_two_lifetimes_in_any_order_end_with_the_later_one() {
     let (first, second) = (life("i-1", 100), life("i-1", 200));
 
-    let mut late_first = Belief::new();
+    let mut late_first = Tracker::new();
     late_first.report(&report(&second, 1, true));
     late_first.report(&report(&first, 9, true));
-    let mut in_order = Belief::new();
+    let mut in_order = Tracker::new();
     in_order.report(&report(&first, 9, false));
     in_order.report(&report(&second, 1, true));
 
-    for belief in [late_first, in_order] {
-        assert!(belief.is_ready());
-        assert_eq!(belief.known().unwrap().lifetime, second);
+    for tracker in [late_first, in_order] {
+        assert!(tracker.is_ready());
+        assert_eq!(tracker.current().unwrap().lifetime, second);
     }
 }
 
 #[test]
-fn a_late_report_under_an_id_never_heard_of_is_known_by_its_start() {
+fn a_late_report_under_an_unknown_id_is_detected_by_its_start_time() {
     let (first, second) = (life("i-1", 100), life("i-2", 200));
-    let mut belief = Belief::new();
-    belief.report(&report(&second, 1, true));
+    let mut tracker = Tracker::new();
+    tracker.report(&report(&second, 1, true));
 
-    belief.report(&report(&first, 9, true));
+    tracker.report(&report(&first, 9, true));
 
-    assert_eq!(belief.known().unwrap().lifetime, second);
+    assert_eq!(tracker.current().unwrap().lifetime, second);
 }
 
 #[test]
-fn what_others_remember_of_a_lifetime_does_not_hold_for_the_next() {
+fn departures_remembered_by_others_do_not_apply_to_the_next_lifetime() {
     let (first, second) = (life("i-1", 100), life("i-1", 200));
-    let mut belief = Belief::new();
-    belief.found("i-1", 8, true);
+    let mut tracker = Tracker::new();
+    tracker.record_health_check("i-1", 8, true);
 
-    assert!(belief.note_left(vec![first.clone()]).has_changed());
-    assert!(!belief.is_ready());
-    belief.report(&report(&first, 3, true));
-    assert!(!belief.is_ready());
-    belief.report(&report(&second, 1, true));
+    assert!(tracker.record_departed(vec![first.clone()]).has_changed());
+    assert!(!tracker.is_ready());
+    tracker.report(&report(&first, 3, true));
+    assert!(!tracker.is_ready());
+    tracker.report(&report(&second, 1, true));
 
-    assert!(belief.is_ready());
+    assert!(tracker.is_ready());
 }
 
 #[test]
-fn an_instance_that_tells_no_start_is_known_by_its_id() {
+fn an_instance_without_a_start_time_is_identified_by_its_id() {
     let only = Lifetime::new("i-1", None);
-    let mut belief = Belief::new();
-    belief.report(&report(&only, 1, true));
-    belief.report(&report(&only, 2, false));
+    let mut tracker = Tracker::new();
+    tracker.report(&report(&only, 1, true));
+    tracker.report(&report(&only, 2, false));
 
-    belief.report(&report(&only, 3, true));
-    belief.report(&report(&only, 1, true));
+    tracker.report(&report(&only, 3, true));
+    tracker.report(&report(&only, 1, true));
 
-    assert!(!belief.is_ready());
+    assert!(!tracker.is_ready());
 }
 
-/// A history: lifetimes one after the other, each of which reports, may
-/// drain and may say goodbye; what they say arrives in any order. The oracle
-/// knows the truth and which words have arrived.
+/// Lifetimes that follow one another report, drain and say goodbye, and their
+/// messages arrive in random order. The oracle knows the messages that
+/// arrived.
 #[test]
-fn drawn_histories_end_as_the_truth_says() {
+fn random_histories_end_in_the_true_state() {
     for seed in 0..20_000 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = rng.random_range(1..4);
-        let mut words: Vec<(usize, Option<u64>, bool)> = Vec::new();
+        let mut messages: Vec<(usize, Option<u64>, bool)> = Vec::new();
         let ids = ["i-1", "i-1", "i-2", "i-1"];
         let lives: Vec<Lifetime> = (0..count)
             .map(|n| life(ids[rng.random_range(0..4)], 100 * (n as u64 + 1)))
@@ -113,28 +113,27 @@
         for n in 0..count {
             let drains = rng.random_range(0..6);
             for sequence in 0..rng.random_range(1..5) {
-                words.push((n, Some(sequence), sequence < drains));
+                messages.push((n, Some(sequence), sequence < drains));
             }
             if rng.random_bool(0.3) {
-                words.push((n, None, false));
+                messages.push((n, None, false));
             }
         }
-        for at in (1..words.len()).rev() {
-            words.swap(at, rng.random_range(0..=at));
+        for at in (1..messages.len()).rev() {
+            messages.swap(at, rng.random_range(0..=at));
         }
 
-        let mut belief = Belief::new();
+        let mut tracker = Tracker::new();
         let mut newest = None;
         let mut left = vec![false; count];
         let mut last = vec![None; count];
-        for (n, sequence, ready) in words {
+        for (n, sequence, ready) in messages {
             let lifetime = &lives[n];
             match sequence {
                 Some(sequence) => {
-                    belief.report(&report(lifetime, sequence, ready));
-                    // One that was heard to leave, then a late report of an
-                    // earlier state, still leaves; a report with a lower
-                    // number than the last is late.
+                    tracker.report(&report(lifetime, sequence, ready));
+                    // A report with a lower number than the last is late and
+                    // does not undo a departure.
                     if last[n].is_none_or(|last| sequence >= last) {
                         last[n] = Some(sequence);
                         left[n] |= !ready;
@@ -142,28 +141,28 @@
                     newest = newest.max(Some(n));
                 }
                 None => {
-                    belief.leave(lifetime);
+                    tracker.leave(lifetime);
                     left[n] = true;
-                    // A goodbye alone makes a lifetime known only where
-                    // none is.
+                    // A goodbye alone makes a lifetime current only if there
+                    // is none.
                     if newest.is_none() {
                         newest = Some(n);
                     }
                 }
             }
 
-            let known = belief.known().unwrap();
+            let current = tracker.current().unwrap();
             let at = newest.unwrap();
-            let told =
-                format!("seed {seed}: {known:?}, truth {:?}", lives[at]);
-            if known.lifetime != lives[at] {
-                // Only one that said goodbye before it reported is not
-                // taken up again.
-                assert!(left[at], "{told}");
+            let context =
+                format!("seed {seed}: {current:?}, truth {:?}", lives[at]);
+            if current.lifetime != lives[at] {
+                // Only a lifetime that said goodbye before its first report
+                // never becomes current.
+                assert!(left[at], "{context}");
                 continue;
             }
-            assert!(!known.ready || !left[at], "{told}");
-            assert!(known.ready || left[at], "{told}");
+            assert!(!current.ready || !left[at], "{context}");
+            assert!(current.ready || left[at], "{context}");
         }
     }
 }
--- a/crates/walnutmoor-core/tests/pipeline.rs
+++ b/crates/walnutmoor-core/tests/pipeline.rs
@@ -1,22 +1,22 @@
-//! What may be under way at once on a caller's connection.
+//! Requests in flight on a pipelined connection.
 
 use walnutmoor_core::pipeline::Pipeline;
 
-fn pipeline(begun: &[bool]) -> Pipeline {
+fn pipeline(started: &[bool]) -> Pipeline {
     let mut pipeline = Pipeline::new(3);
-    begun.iter().for_each(|again| pipeline.begin(*again));
+    started.iter().for_each(|idempotent| pipeline.begin(*idempotent));
     pipeline
 }
 
 #[test]
-fn repeatable_requests_run_beside_each_other_up_to_the_bound() {
+fn idempotent_requests_run_concurrently_up_to_the_limit() {
     assert!(pipeline(&[]).may_begin(true));
     assert!(pipeline(&[true, true]).may_begin(true));
     assert!(!pipeline(&[true, true, true]).may_begin(true));
 }
 
 #[test]
-fn one_that_may_run_only_once_waits_and_is_waited_for() {
+fn a_request_that_is_not_idempotent_runs_alone() {
     let mut pipeline = pipeline(&[true]);
 
     assert!(!pipeline.may_begin(false));
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn only_the_last_answer_says_that_the_connection_closes() {
+fn only_the_last_response_says_that_the_connection_closes() {
     let mut pipeline = pipeline(&[true, true, true]);
     assert!(!pipeline.end());
 
-    pipeline.stop();
+    pipeline.drain();
 
     assert!(!pipeline.may_begin(true));
     assert!(!pipeline.end());
     assert!(pipeline.end());
-    assert!(pipeline.is_over());
+    assert!(pipeline.is_drained());
 }
--- a/crates/walnutmoor-core/tests/repeat.rs
+++ b/crates/walnutmoor-core/tests/repeat.rs
@@ -1,12 +1,12 @@
-//! The allowance of repeats against an oracle that remembers every event: no
-//! grant takes its window over what the ratio and the slack allow.
+//! The retry budget against an oracle that records every event: no admitted
+//! retry takes its window over the limit set by ratio and slack.
 
 use proptest::{prelude::*, test_runner::Config as Runner};
 use proptest_state_machine::{
     ReferenceStateMachine, StateMachineTest, prop_state_machine,
 };
 use walnutmoor_core::{
-    retry_budget::{Asker, Config, Lot, Repeats},
+    retry_budget::{Config, Priority, RetryBudget, SampleKey},
     time::Millis,
 };
 
@@ -16,9 +16,9 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    First,
-    Repeat,
-    Pass(u64),
+    Request,
+    Retry,
+    Advance(u64),
 }
 
 #[derive(Clone, Debug, Default)]
@@ -36,16 +36,16 @@
 
     fn transitions(_: &Model) -> BoxedStrategy<Step> {
         prop_oneof![
-            6 => Just(Step::First),
-            6 => Just(Step::Repeat),
-            3 => (1..200u64).prop_map(Step::Pass),
-            1 => (900..1_300u64).prop_map(Step::Pass),
+            6 => Just(Step::Request),
+            6 => Just(Step::Retry),
+            3 => (1..200u64).prop_map(Step::Advance),
+            1 => (900..1_300u64).prop_map(Step::Advance),
         ]
         .boxed()
     }
 
     fn apply(mut state: Model, step: &Step) -> Model {
-        if let Step::Pass(span) = step {
+        if let Step::Advance(span) = step {
             state.now += span;
         }
         state
@@ -53,8 +53,8 @@
 }
 
 struct Sut {
-    repeats: Repeats,
-    firsts: Vec<u64>,
+    budget: RetryBudget,
+    requests: Vec<u64>,
     granted: Vec<u64>,
 }
 
@@ -66,8 +66,8 @@
         let config =
             Config::new().ratio(RATIO).slack(SLACK).window(Millis(WINDOW));
         Sut {
-            repeats: Repeats::new(config),
-            firsts: Vec::new(),
+            budget: RetryBudget::new(config),
+            requests: Vec::new(),
             granted: Vec::new(),
         }
     }
@@ -75,32 +75,32 @@
     fn apply(mut this: Sut, model: &Model, step: Step) -> Sut {
         let now = Millis(model.now);
         match step {
-            Step::First => {
-                this.repeats.first(now);
-                this.firsts.push(model.now);
+            Step::Request => {
+                this.budget.record_request(now);
+                this.requests.push(model.now);
             }
-            Step::Repeat if this.repeats.try_repeat(now) => {
+            Step::Retry if this.budget.try_retry(now) => {
                 this.granted.push(model.now);
                 this.check(model.now);
             }
-            Step::Repeat | Step::Pass(_) => {}
+            Step::Retry | Step::Advance(_) => {}
         }
         this
     }
 }
 
 impl Sut {
-    /// At each grant, the window that ends now is within its allowance. It
-    /// holds at grants only: later the requests that earned a repeat may
-    /// have left the window before it.
+    /// Checks the window that ends now. The limit holds only at the moment of
+    /// a grant: requests may leave the window before the retries that they
+    /// allowed.
     fn check(&self, now: u64) {
         let within = |times: &[u64]| {
             let from = now.saturating_sub(WINDOW);
             times.iter().filter(|at| **at >= from).count() as f64
         };
         let granted = within(&self.granted);
-        let firsts = within(&self.firsts);
-        assert!(granted <= firsts * RATIO + SLACK);
+        let requests = within(&self.requests);
+        assert!(granted <= requests * RATIO + SLACK);
     }
 }
 
@@ -113,129 +113,131 @@
     })]
 
     #[test]
-    fn repeats_stay_within_ratio_and_slack(sequential 1..150 => Sut);
+    fn retries_stay_within_ratio_and_slack(sequential 1..150 => Sut);
 }
 
 #[test]
-fn a_fresh_process_has_only_its_slack() {
+fn a_new_budget_has_only_its_slack() {
     let config = Config::new().ratio(0.2).total(0.2).slack(3.0);
-    let mut repeats = Repeats::new(config);
+    let mut budget = RetryBudget::new(config);
 
-    let granted = (0..10).filter(|_| repeats.try_repeat(Millis(5))).count();
+    let granted = (0..10).filter(|_| budget.try_retry(Millis(5))).count();
 
     assert_eq!(granted, 3);
-    assert_eq!(repeats.left(Millis(5)), 0);
+    assert_eq!(budget.remaining(Millis(5)), 0);
 }
 
 #[test]
-fn calls_of_repeated_runs_use_up_the_allowance() {
+fn calls_of_retried_runs_count_against_the_budget() {
     let config = Config::new().ratio(0.0).total(0.0).slack(3.0);
-    let mut repeats = Repeats::new(config);
+    let mut budget = RetryBudget::new(config);
 
-    repeats.echo(Millis(1));
-    repeats.echo(Millis(2));
+    budget.record_nested(Millis(1));
+    budget.record_nested(Millis(2));
 
-    assert!(repeats.try_repeat(Millis(3)));
-    assert!(!repeats.try_repeat(Millis(4)));
+    assert!(budget.try_retry(Millis(3)));
+    assert!(!budget.try_retry(Millis(4)));
 }
 
-/// Instances of one service that are reached unevenly by the calls of repeated
-/// runs: the whole must stay under the ratio that a platform allows, though
-/// each instance knows only its own share.
+/// Calls of retried runs that are spread unevenly over instances must not take
+/// the whole service over the ratio that the platform allows.
 #[test]
-fn uneven_calls_of_repeated_runs_do_not_break_the_ratio_of_the_service() {
+fn uneven_calls_of_retried_runs_keep_the_ratio_of_the_service() {
     const ALLOWED: f64 = 0.2;
-    let mut firsts = 0;
-    let mut repeated = 0;
+    let mut requests = 0;
+    let mut retries = 0;
 
     for instance in 0..10 {
-        let mut repeats = Repeats::new(Config::new().slack(0.0));
-        // Every other instance gets a quarter of its requests from repeated
-        // runs, the rest get none.
+        let mut budget = RetryBudget::new(Config::new().slack(0.0));
+        // Every other instance gets a quarter of its requests from retried
+        // runs; the rest get none.
         for at in 0..1_000 {
             let now = Millis(at);
-            repeats.first(now);
-            firsts += 1;
+            budget.record_request(now);
+            requests += 1;
             if instance % 2 == 0 && at % 4 == 0 {
-                repeats.echo(now);
-                repeated += 1;
+                budget.record_nested(now);
+                retries += 1;
             }
-            repeated += u32::from(repeats.try_repeat(now));
+            retries += u32::from(budget.try_retry(now));
         }
     }
 
-    let share = f64::from(repeated) / f64::from(firsts);
+    let share = f64::from(retries) / f64::from(requests);
     assert!(share < ALLOWED * 0.8, "{share}");
 }
 
-/// An instance that has seen 1,000 first requests, with 140 repeats.
-fn warm() -> Repeats {
+/// A budget after 1,000 initial requests, which allow 140 retries.
+fn warm_budget() -> RetryBudget {
     let config = Config::new().leaf(0.14, 0.17).slack(0.0);
-    let mut repeats = Repeats::new(config);
+    let mut budget = RetryBudget::new(config);
     for at in 0..1_000 {
-        repeats.first(Millis(at));
+        budget.record_request(Millis(at));
     }
-    repeats
+    budget
 }
 
-fn grants(repeats: &mut Repeats, rank: u8, count: u32) -> usize {
+/// How many of `count` different requests of a rank get a retry.
+fn grants(budget: &mut RetryBudget, rank: u8, count: u32) -> usize {
     let asks = (0..count).filter(|n| {
-        let lot = Lot::of(&format!("request-{n}"));
-        repeats.try_repeat_for(Millis(1_000), Asker { rank, lot })
+        let sample_key = SampleKey::of(&format!("request-{n}"));
+        budget.try_retry_for(Millis(1_000), Priority { rank, sample_key })
     });
     asks.count()
 }
 
 #[test]
-fn the_least_urgent_leave_half_of_what_may_be_spent_at_once() {
-    let mut repeats = warm();
+fn the_least_urgent_rank_leaves_half_of_the_burst() {
+    let mut budget = warm_budget();
 
-    let searches = grants(&mut repeats, 3, 1_000);
-    let claims = grants(&mut repeats, 0, 1_000);
+    let searches = grants(&mut budget, 3, 1_000);
+    let claims = grants(&mut budget, 0, 1_000);
 
     assert!(searches <= 18, "{searches}");
     assert!(claims >= 10, "{claims}");
 }
 
 #[test]
-fn a_request_that_got_one_repeat_gets_the_next_before_others_do() {
-    let mut repeats = warm();
-    grants(&mut repeats, 0, 200);
-    let mut by_lot: Vec<Lot> =
-        (0..100).map(|n| Lot::of(&format!("r-{n}"))).collect();
-    by_lot.sort();
+fn a_request_that_got_a_retry_is_preferred_for_the_next() {
+    let mut budget = warm_budget();
+    grants(&mut budget, 0, 200);
+    let mut keys: Vec<SampleKey> =
+        (0..100).map(|n| SampleKey::of(&format!("r-{n}"))).collect();
+    keys.sort();
     let now = Millis(1_600);
-    let mut grant = |lot| repeats.try_repeat_for(now, Asker { rank: 0, lot });
+    let mut grant = |sample_key| {
+        budget.try_retry_for(now, Priority { rank: 0, sample_key })
+    };
 
-    let low: Vec<bool> = (0..5).map(|_| grant(by_lot[0])).collect();
-    let high = grant(by_lot[99]);
+    let low: Vec<bool> = (0..5).map(|_| grant(keys[0])).collect();
+    let high = grant(keys[99]);
 
     assert_eq!(low, [true; 5]);
     assert!(!high);
 }
 
 #[test]
-fn an_instance_whose_runs_make_calls_grants_fewer() {
-    let mut repeats = warm();
-    let before = repeats.left(Millis(1_000));
+fn an_instance_whose_runs_make_calls_admits_fewer_retries() {
+    let mut budget = warm_budget();
+    let before = budget.remaining(Millis(1_000));
 
     for _ in 0..100 {
-        repeats.call(Millis(1_000));
+        budget.record_call(Millis(1_000));
     }
 
     assert_eq!(before, 140);
-    assert_eq!(repeats.left(Millis(1_000)), 50);
+    assert_eq!(budget.remaining(Millis(1_000)), 50);
 }
 
 #[test]
-fn the_window_before_counts_where_it_is_told_to() {
-    let config = Config::new().leaf(0.1, 0.1).slack(0.0).earlier(0.8);
-    let mut repeats = Repeats::new(config);
+fn carry_over_counts_the_previous_window() {
+    let config = Config::new().leaf(0.1, 0.1).slack(0.0).carry_over(0.8);
+    let mut budget = RetryBudget::new(config);
     for at in 0..1_000 {
-        repeats.first(Millis(at));
+        budget.record_request(Millis(at));
     }
 
-    assert_eq!(repeats.left(Millis(9_000)), 100);
-    assert_eq!(repeats.left(Millis(12_000)), 80);
-    assert_eq!(repeats.left(Millis(25_000)), 0);
+    assert_eq!(budget.remaining(Millis(9_000)), 100);
+    assert_eq!(budget.remaining(Millis(12_000)), 80);
+    assert_eq!(budget.remaining(Millis(25_000)), 0);
 }
