--- a/crates/walnutmoor-core/tests/replay/mod.rs
+++ b/crates/walnutmoor-core/tests/replay/mod.rs
@@ -15,13 +15,13 @@
     rand_core::{Rng, SeedableRng},
 };
 use walnutmoor_core::{
-    balance::{Balance, Choice, Want},
+    balance::{Balancer, Choice, Pick},
     bulkhead::{Bulkhead, Next, Offer, Work, urgency},
     digest::Map,
     footprint::{Footprint, Key},
     id::{CallId, NodeId, Service},
-    retry_budget::{Asker, Config, Lot, Repeats},
-    retry_state::{Course, Step, Word},
+    retry_budget::{Config, Priority, RetryBudget, SampleKey},
+    retry_state::{Decision, Outcome, RetryState},
     throttle::{Ended, Throttle},
     time::Millis,
 };
@@ -184,8 +184,8 @@
     way: usize,
     since: Millis,
     left: u32,
-    course: Course,
-    lot: Lot,
+    course: RetryState,
+    lot: SampleKey,
 }
 
 impl Request {
@@ -217,9 +217,9 @@
     events: BinaryHeap<Reverse<(Millis, u64, Event)>>,
     serial: u64,
     requests: Requests,
-    ways: Vec<(Balance, Throttle)>,
+    ways: Vec<(Balancer, Throttle)>,
     parts: Vec<Bulkhead>,
-    repeats: Vec<Repeats>,
+    repeats: Vec<RetryBudget>,
     /// First arrivals at parts, and repeats.
     arrivals: (u32, u32),
     rng: ChaCha8Rng,
@@ -232,8 +232,8 @@
 
 /// The allowance that a node gives its instance: seven tenths of the
 /// platform's 0.2, and nearly all of it with the calls of repeated runs.
-fn repeats() -> Repeats {
-    Repeats::new(Config::new().leaf(0.14, 0.17).slack(4.0).earlier(0.9))
+fn repeats() -> RetryBudget {
+    RetryBudget::new(Config::new().leaf(0.14, 0.17).slack(4.0).carry_over(0.9))
 }
 
 /// What a request of a class takes of parts.
@@ -255,7 +255,7 @@
         let mut ways = Vec::new();
         for way in 0..count {
             let zone = |n| format!("z{n}").parse().unwrap();
-            let mut balance = Balance::new(zone(way));
+            let mut balance = Balancer::new(zone(way));
             for at in 0..count {
                 balance.join(node(at), &service(), &zone(at));
             }
@@ -355,10 +355,10 @@
         }
         self.serial += 1;
         let id = self.serial;
-        let lot = Lot::of(&id.to_string());
+        let lot = SampleKey::of(&id.to_string());
         let throttle = &self.ways[way].1;
         let open = throttle.admits(class.name(), false, draw);
-        let asker = Asker { rank: class.priority(), lot };
+        let asker = Priority { rank: class.priority(), sample_key: lot };
         let lost = self.plan.covered
             && class == Class::Claim
             && !throttle.carries(class.name(), asker);
@@ -369,7 +369,7 @@
             return;
         }
         let left = class.calls().max(1);
-        let course = Course::new(ATTEMPTS, true);
+        let course = RetryState::new(ATTEMPTS, true);
         let request = Request { class, way, since, left, course, lot };
         self.requests.insert(id, request);
         match class {
@@ -388,21 +388,21 @@
             return;
         };
         let name = service();
-        let want = Want {
+        let pick = Pick {
             service: &name,
             priority: request.rank(self.plan.inherited),
             target: request.target(),
-            again: true,
+            idempotent: true,
         };
         let balance = &mut self.ways[request.way].0;
         let scope = request.course.scope();
-        let Choice::Send(to) = balance.choose_within(self.now, want, &scope)
+        let Choice::Send(to) = balance.choose_within(self.now, pick, &scope)
         else {
             return self.end(id, false);
         };
         balance.sent(to);
         let at = usize::from(to.0.port()) - 1;
-        match request.course.pause(to) {
+        match request.course.backoff(to) {
             Millis(0) => self.send(id, at),
             pause => self.push(pause, Event::Resend(id, at)),
         }
@@ -423,15 +423,15 @@
             moved,
         };
         let asker = match self.plan.deal {
-            Deal::First => Asker::default(),
-            Deal::Lots => Asker { rank, lot: request.lot },
+            Deal::First => Priority::default(),
+            Deal::Lots => Priority { rank, sample_key: request.lot },
         };
         let repeats = &mut self.repeats[at];
-        if again && !repeats.try_repeat_for(self.now, asker) {
-            return self.moved(id, at, Word::Denied);
+        if again && !repeats.try_retry_for(self.now, asker) {
+            return self.moved(id, at, Outcome::BudgetExhausted);
         }
         if !moved {
-            repeats.first(self.now);
+            repeats.record_request(self.now);
         }
         match again {
             true => self.arrivals.1 += 1,
@@ -441,7 +441,7 @@
             Offer::Run => self.run(id, at),
             Offer::Wait => {}
             Offer::Full { .. } | Offer::Closed => {
-                self.moved(id, at, Word::Refused);
+                self.moved(id, at, Outcome::NodeRejected);
             }
         }
     }
@@ -460,22 +460,22 @@
     }
 
     fn parts_shed(&mut self, id: u64, at: usize) {
-        self.repeats[at].arrived(true);
+        self.repeats[at].record_arrival(true);
         self.parts[at].finish(self.now, CallId(id), false);
         self.drive(at);
-        self.moved(id, at, Word::TurnedAway);
+        self.moved(id, at, Outcome::InstanceRejected);
     }
 
     /// A call was turned away, by an instance or before it.
-    fn moved(&mut self, id: u64, at: usize, word: Word) {
-        let reached = word == Word::TurnedAway;
+    fn moved(&mut self, id: u64, at: usize, word: Outcome) {
+        let reached = word == Outcome::InstanceRejected;
         self.hear(id, at, reached.then_some(true));
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        match request.course.take(node(at), word) {
-            Step::Go => self.call(id),
-            Step::Stop => self.end(id, false),
+        match request.course.record(node(at), word) {
+            Decision::Retry => self.call(id),
+            Decision::Stop => self.end(id, false),
         }
     }
 
@@ -500,7 +500,7 @@
     }
 
     fn parts_done(&mut self, id: u64, at: usize) {
-        self.repeats[at].arrived(false);
+        self.repeats[at].record_arrival(false);
         self.parts[at].finish(self.now, CallId(id), true);
         self.drive(at);
         self.hear(id, at, Some(false));
@@ -509,7 +509,7 @@
             return;
         };
         request.left -= 1;
-        request.course = Course::new(ATTEMPTS, true);
+        request.course = RetryState::new(ATTEMPTS, true);
         match request.left {
             0 => self.end(id, true),
             _ => self.call(id),
@@ -521,7 +521,7 @@
             match next {
                 Next::Run(id) => self.run(id.0, at),
                 Next::Full(id, _) | Next::Closed(id) => {
-                    self.moved(id.0, at, Word::Refused);
+                    self.moved(id.0, at, Outcome::NodeRejected);
                 }
             }
         }
--- a/crates/walnutmoor-core/tests/table.rs
+++ b/crates/walnutmoor-core/tests/table.rs
@@ -1,4 +1,4 @@
-//! Routes and splits.
+//! The route table and traffic splits.
 
 use walnutmoor_core::{
     id::Version,
@@ -17,7 +17,7 @@
         prefix: prefix.into(),
         effect: Effect::Idempotent,
         timeout: Millis(1_000),
-        target: Millis(500),
+        target_latency: Millis(500),
         priority: 1,
         attempts: 2,
         is_public: false,
@@ -79,8 +79,8 @@
     assert!(all);
 }
 
-/// Nodes that each deal out so many requests of a split; the share of the
-/// lighter part over all of them.
+/// The share of the lighter target over many nodes that each split this many
+/// requests.
 fn share(nodes: u64, requests: usize) -> f64 {
     let route = route("r", "/", &[("desk", 70), ("board", 30)]);
     let board = "board".parse().unwrap();
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn many_nodes_keep_a_split_together_from_the_first_request_on() {
+fn many_nodes_together_keep_a_split_from_the_first_request() {
     for requests in 1..5 {
         let share = share(400, requests);
 
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_node_keeps_a_split_wherever_it_begins() {
+fn a_split_is_exact_for_every_seed() {
     for seed in 0..50 {
         let route = route("r", "/", &[("desk", 70), ("board", 30)]);
         let board = "board".parse().unwrap();
--- a/crates/walnutmoor-core/tests/throttle.rs
+++ b/crates/walnutmoor-core/tests/throttle.rs
@@ -3,18 +3,18 @@
 use walnutmoor_core::{
     balance::{Pressure, Pressures},
     footprint::{Footprint, Key, State},
-    retry_budget::{Asker, Lot},
+    retry_budget::{Priority, SampleKey},
     throttle::{Ended, Throttle},
     time::Millis,
 };
 
 /// Twice what can be done is asked for.
 const OVER: Pressure =
-    Pressure { demand: 2.0, urgent: 2.0, direct: 0.15, pressed: true };
+    Pressure { demand: 2.0, urgent: 2.0, least_urgent: 0.15, shedding: true };
 
 /// Half of what can be done is asked for.
 const CALM: Pressure =
-    Pressure { demand: 0.5, urgent: 0.5, direct: 0.15, pressed: false };
+    Pressure { demand: 0.5, urgent: 0.5, least_urgent: 0.15, shedding: false };
 
 fn ends(throttle: &mut Throttle, route: &str, priority: u8, failed: u32) {
     for n in 0..100 {
@@ -111,8 +111,13 @@
         let demand = 1.5 * open(&throttle, "lookups");
         ends(&mut throttle, "lookups", 2, if demand > 1.0 { 40 } else { 0 });
         let urgent = 0.0;
-        let pressed = demand > 1.0;
-        throttle.step(Pressure { demand, urgent, direct: 0.15, pressed });
+        let shedding = demand > 1.0;
+        throttle.step(Pressure {
+            demand,
+            urgent,
+            least_urgent: 0.15,
+            shedding,
+        });
     }
 
     let part = open(&throttle, "lookups");
@@ -121,7 +126,7 @@
 
 /// More is asked for than can be done, but not by the most urgent alone.
 const OVER_BELOW: Pressure =
-    Pressure { demand: 1.5, urgent: 0.8, direct: 0.15, pressed: true };
+    Pressure { demand: 1.5, urgent: 0.8, least_urgent: 0.15, shedding: true };
 
 #[test]
 fn the_most_urgent_is_not_cut_for_the_demand_of_others() {
@@ -166,8 +171,8 @@
         let pressure = Pressure {
             demand: all / 0.85,
             urgent: 0.2 / 0.7,
-            direct: 0.0,
-            pressed: all > 1.0,
+            least_urgent: 0.0,
+            shedding: all > 1.0,
         };
         let failed = if all > 1.0 { 40 } else { 0 };
         ends(throttle, "lookups", 2, failed);
@@ -192,14 +197,14 @@
 
 #[test]
 fn slots_that_nobody_asks_for_directly_are_used() {
-    let fits = |direct| {
+    let fits = |least_urgent| {
         let mut throttle = Throttle::new();
         for _ in 0..40 {
             let demand = 1.4 * open(&throttle, "lookups");
             ends(&mut throttle, "lookups", 2, 40);
             let urgent = 0.0;
-            let pressed = true;
-            throttle.step(Pressure { demand, urgent, direct, pressed });
+            let shedding = true;
+            throttle.step(Pressure { demand, urgent, least_urgent, shedding });
         }
         open(&throttle, "lookups")
     };
@@ -285,8 +290,10 @@
 
 /// How many of a thousand claims are carried to their end.
 fn carried(throttle: &Throttle) -> usize {
-    let asker =
-        |n: u32| Asker { rank: 0, lot: Lot::of(&format!("request-{n}")) };
+    let asker = |n: u32| Priority {
+        rank: 0,
+        sample_key: SampleKey::of(&format!("request-{n}")),
+    };
     (0..1_000).filter(|n| throttle.carries("claims", asker(*n))).count()
 }
 
--- a/crates/walnutmoor-standin/src/measure/restore.rs
+++ b/crates/walnutmoor-standin/src/measure/restore.rs
@@ -167,7 +167,7 @@
         prefix: "/search/".into(),
         effect: Effect::Idempotent,
         timeout: Millis(3_000),
-        target: Millis(500),
+        target_latency: Millis(500),
         priority: 2,
         attempts: 2,
         is_public: false,
--- a/crates/walnutmoor-standin/src/mesh/instance.rs
+++ b/crates/walnutmoor-standin/src/mesh/instance.rs
@@ -23,7 +23,7 @@
 };
 use walnutmoor_core::{
     id::Service,
-    lifetime::{Born, Lifetime, Report},
+    lifetime::{Lifetime, Report, StartTime},
 };
 use walnutmoor_platform::{header, standin};
 
@@ -121,7 +121,10 @@
     ) -> Arc<Instance> {
         let listener = listen(address).await;
         let instance = Arc::new(Instance {
-            life: Mutex::new(Lifetime::new(id, Some(Born(unix_millis())))),
+            life: Mutex::new(Lifetime::new(
+                id,
+                Some(StartTime(unix_millis())),
+            )),
             service: service.parse().expect("a service name"),
             slots: 8,
             address,
--- a/crates/walnutmoor-standin/src/mesh/instance/fault.rs
+++ b/crates/walnutmoor-standin/src/mesh/instance/fault.rs
@@ -13,7 +13,7 @@
 };
 
 use tokio::time::Instant;
-use walnutmoor_core::lifetime::{Born, Lifetime};
+use walnutmoor_core::lifetime::{Lifetime, StartTime};
 
 use super::{Instance, caller, listen, unix_millis};
 
@@ -88,7 +88,7 @@
         let first = self.id();
         let first = first.split('.').next().unwrap_or_default();
         let id = format!("{first}.{starts}");
-        let life = Lifetime::new(&id, Some(Born(unix_millis())));
+        let life = Lifetime::new(&id, Some(StartTime(unix_millis())));
         *self.life.lock().expect("no holder panics") = life;
         self.sequence.store(0, Ordering::Relaxed);
         self.open(listener);
--- a/crates/walnutmoor-standin/src/soak/world.rs
+++ b/crates/walnutmoor-standin/src/soak/world.rs
@@ -566,7 +566,7 @@
     for each in 1..=version {
         routes.push(route(&probe(each), "desk", Effect::Idempotent));
     }
-    let spec = || Spec { health: "/health".into(), connections: 64 };
+    let spec = || Spec { health_path: "/health".into(), max_connections: 64 };
     let names = ["front", "desk", "parts"];
     let services: Vec<(Service, Spec)> = names
         .iter()
@@ -583,7 +583,7 @@
         prefix: format!("/{name}/"),
         effect,
         timeout: Millis(3_000),
-        target: Millis(500),
+        target_latency: Millis(500),
         priority: if effect == Effect::Once { 0 } else { 2 },
         attempts: 2,
         is_public: false,
--- a/crates/walnutmoor/src/duty/operator.rs
+++ b/crates/walnutmoor/src/duty/operator.rs
@@ -309,7 +309,7 @@
         value.map(str::to_string)
     };
     let by = text(OPERATOR).unwrap_or_else(|| "unnamed".to_string());
-    let by = by.chars().take(id::NAME_MAX).collect();
+    let by = by.chars().take(id::MAX_NAME_BYTES).collect();
     let drawn = || format!("{:032x}", rand::random::<u128>());
     let change = text(CHANGE).unwrap_or_else(drawn).parse();
     let change = change.map_err(|e: id::ParseError| e.to_string())?;
--- a/crates/walnutmoor/src/mesh/belief.rs
+++ b/crates/walnutmoor/src/mesh/belief.rs
@@ -23,7 +23,7 @@
 impl Serve {
     /// An instance reports of itself.
     pub fn report(&self, state: &Rc<State>, report: &Report) {
-        let before = self.belief.borrow().known().cloned();
+        let before = self.belief.borrow().current().cloned();
         let change = self.belief.borrow_mut().report(report);
         if let Some(before) = before.filter(|before| before.ready)
             && change == Change::Lifetime
@@ -42,7 +42,7 @@
     /// Lifetimes that have left, as others were told by a former life of
     /// this node.
     pub fn note_former(&self, state: &Rc<State>, lifetimes: Vec<Lifetime>) {
-        let change = self.belief.borrow_mut().note_left(lifetimes);
+        let change = self.belief.borrow_mut().record_departed(lifetimes);
         self.follow(state, change, "a former life of this node");
     }
 
@@ -59,13 +59,16 @@
         slots: u32,
         ready: bool,
     ) {
-        let change = self.belief.borrow_mut().found(instance, slots, ready);
+        let change = self
+            .belief
+            .borrow_mut()
+            .record_health_check(instance, slots, ready);
         self.follow(state, change, "health check");
     }
 
     /// Another instance answered at the address.
     pub(super) fn replaced(&self, state: &Rc<State>) {
-        let before = self.belief.borrow().known().cloned();
+        let before = self.belief.borrow().current().cloned();
         let change = self.belief.borrow_mut().forget();
         if let Some(before) = before.filter(|before| before.ready) {
             self.note_crash(state, &before.lifetime, "another instance");
@@ -102,7 +105,7 @@
     fn reopen(&self) {
         let belief = self.belief.borrow();
         let mut bulkhead = self.bulkhead.borrow_mut();
-        match belief.known() {
+        match belief.current() {
             Some(known) if known.ready && !self.retired.get() => {
                 bulkhead.open(known.slots);
             }
@@ -111,9 +114,9 @@
     }
 
     fn note(&self, state: &State, source: &str) {
-        let known = self.belief.borrow().known().cloned();
+        let known = self.belief.borrow().current().cloned();
         let known = known.unwrap_or_default();
-        let born = known.lifetime.born.map(|born| born.0);
+        let born = known.lifetime.started_at.map(|born| born.0);
         let fields = [
             ("instance", known.lifetime.id.into()),
             ("born", born.into()),
@@ -127,7 +130,7 @@
 
     pub(super) fn instance(&self) -> String {
         let belief = self.belief.borrow();
-        let id = belief.known().map(|known| known.lifetime.id.clone());
+        let id = belief.current().map(|known| known.lifetime.id.clone());
         id.unwrap_or_default()
     }
 
--- a/crates/walnutmoor/src/mesh/connection.rs
+++ b/crates/walnutmoor/src/mesh/connection.rs
@@ -125,7 +125,7 @@
 /// How long a connection may stand still.
 fn idle(state: &State) -> Duration {
     state.table().map_or(IDLE, |table| {
-        let longest = table.limits.idle.max(table.limits.head_time);
+        let longest = table.limits.idle_timeout.max(table.limits.head_timeout);
         Duration::from_millis((longest + IDLE_MARGIN).0)
     })
 }
@@ -156,7 +156,7 @@
         let mut timer = pin!(sleep(idle));
         loop {
             self.advance();
-            if self.pipeline.is_over() && !self.output.has_remaining() {
+            if self.pipeline.is_drained() && !self.output.has_remaining() {
                 return Ok(());
             }
             let reads = self.wants_bytes();
@@ -218,7 +218,7 @@
 
     /// Decodes and begins requests as far as that is possible.
     fn advance(&mut self) {
-        while !self.pipeline.is_stopped() && self.step() {}
+        while !self.pipeline.is_draining() && self.step() {}
         let ahead = !self.pending.is_empty();
         if let Reading::Body(arrival) = &mut self.reading
             && !ahead
@@ -320,7 +320,7 @@
         }
         self.pipeline.begin(again);
         if arrival.closes() {
-            self.pipeline.stop();
+            self.pipeline.drain();
         }
         let state = self.state.clone();
         let method = arrival.method().clone();
@@ -346,7 +346,7 @@
     /// Begins nothing more. What is partly read counts as not read: its
     /// caller sends it again on another connection.
     fn stop(&mut self) {
-        self.pipeline.stop();
+        self.pipeline.drain();
         let reading = std::mem::replace(&mut self.reading, Reading::Head);
         if let Reading::Body(arrival) | Reading::Whole(arrival) = reading {
             arrival.leave_unread();
--- a/crates/walnutmoor/src/mesh/crash.rs
+++ b/crates/walnutmoor/src/mesh/crash.rs
@@ -77,7 +77,7 @@
     /// have been heard in between; it is still one crash.
     fn crash_of(&self, lifetime: &Lifetime) -> Option<Crash> {
         let crashed = self.crashed.borrow();
-        let crashed = crashed.as_ref().filter(|c| c.may_be(lifetime));
+        let crashed = crashed.as_ref().filter(|c| c.matches(lifetime));
         crashed.map(Crash::from)
     }
 }
@@ -86,7 +86,7 @@
     /// A connection broke under a run: the crash of the instance, if that is
     /// why.
     pub(super) async fn find_crash(&self, state: &Rc<State>) -> Option<Crash> {
-        let known = self.belief.borrow().known().cloned()?;
+        let known = self.belief.borrow().current().cloned()?;
         if !known.ready || !self.is_gone(state).await {
             return None;
         }
--- a/crates/walnutmoor/src/mesh/dispatch.rs
+++ b/crates/walnutmoor/src/mesh/dispatch.rs
@@ -3,9 +3,9 @@
 
 A request that no instance has got moves on at no cost. One that an instance
 has got goes on only within the allowance of the instance that gets it next,
-and if it may have run only if it is idempotent. `walnutmoor_core::course` has
-the bounds. What was turned away everywhere is refused with the word that it
-did not run; what may have run is not.
+and if it may have run only if it is idempotent.
+`walnutmoor_core::retry_state` has the bounds. What was turned away everywhere
+is refused with the word that it did not run; what may have run is not.
 */
 
 use std::{rc::Rc, sync::Arc, time::Duration};
@@ -13,12 +13,12 @@
 use bytes::Bytes;
 use tokio::{sync::oneshot, time::sleep};
 use walnutmoor_core::{
-    balance::{Choice, Want},
+    balance::{Choice, Pick},
     error::Kind,
     footprint::Footprint,
     id::{Account, CallId, NodeId, Service},
     poison::{self, Fingerprint, Place, Standing},
-    retry_state::{self, Step, Word},
+    retry_state::{self, Decision, Outcome},
     table::{Effect, Route},
     time::Millis,
 };
@@ -151,18 +151,18 @@
             Next::Hold => return course.hold(),
             Next::Bar(left) => return course.bar(left),
         };
-        let pause = course.way.pause(node);
+        let pause = course.way.backoff(node);
         if pause > Millis(0) {
             let left = request.deadline.since(now);
             sleep(Duration::from_millis(pause.min(left).0)).await;
         }
         let Some((flight, receiver)) = send(state, request, node, course)
         else {
-            course.way.skip(node);
+            course.way.exclude(node);
             continue;
         };
         let Some(reply) = land(state, request, flight, receiver).await else {
-            course.way.give_up_on(node);
+            course.way.record_timeout(node);
             return course.give_up(Kind::Timeout);
         };
         if let Some(end) = course.take(state, request, node, reply) {
@@ -221,21 +221,21 @@
 }
 
 fn choose_any(state: &State, request: &Request, course: &Course) -> Choice {
-    let want = Want {
+    let pick = Pick {
         service: &request.service,
         priority: request.urgency,
-        target: request.route.target,
-        again: request.route.effect == Effect::Idempotent,
+        target: request.route.target_latency,
+        idempotent: request.route.effect == Effect::Idempotent,
     };
     let now = state.now();
-    let due = Some(request.deadline.since(now));
-    let scope = retry_state::Scope { due, ..course.way.scope() };
-    state.balance.borrow_mut().choose_within(now, want, &scope)
+    let time_left = Some(request.deadline.since(now));
+    let scope = retry_state::Scope { time_left, ..course.way.scope() };
+    state.balance.borrow_mut().choose_within(now, pick, &scope)
 }
 
 /// What has become of a request so far.
 struct Course {
-    way: retry_state::Course,
+    way: retry_state::RetryState,
     /// The last answer that an instance failed it with.
     failed: Option<Reply>,
     /// Why it was turned away last, and when there may be room.
@@ -245,7 +245,7 @@
 impl Course {
     fn new(route: &Route) -> Course {
         let again = route.effect == Effect::Idempotent;
-        let way = retry_state::Course::new(route.attempts, again);
+        let way = retry_state::RetryState::new(route.attempts, again);
         Course { way, failed: None, refusal: None }
     }
 
@@ -270,18 +270,18 @@
                 ("the instance crashed", Kind::Broken)
             }
         };
-        let step = self.way.take(node, word);
-        if word == Word::Served {
+        let step = self.way.record(node, word);
+        if word == Outcome::Served {
             return Some(answered(reply));
         }
-        if word == Word::Failed {
+        if word == Outcome::Failed {
             self.failed = Some(reply);
         }
         // What one node refuses for its content, its siblings refuse as well.
-        if step == Step::Stop || kind == Kind::Poisoned {
+        if step == Decision::Stop || kind == Kind::Poisoned {
             return Some(self.give_up(kind));
         }
-        if word != Word::Refused {
+        if word != Outcome::NodeRejected {
             self.note(state, request, node, why);
         }
         None
@@ -338,26 +338,30 @@
 }
 
 /// What a reply says, and what it tells of the instance.
-fn judge(state: &State, node: NodeId, reply: &Reply) -> Word {
+fn judge(state: &State, node: NodeId, reply: &Reply) -> Outcome {
     let mut balance = state.balance.borrow_mut();
     let (word, failed) = match reply {
         Reply::Answered { status, footprint, .. } => {
             let starved = footprint.is_starved();
-            let word = Word::of_answer(*status, starved);
+            let word = Outcome::from_response(*status, starved);
             // A run that lacked a call tells nothing of its instance.
-            (word, (!starved).then_some(word == Word::Failed))
+            (word, (!starved).then_some(word == Outcome::Failed))
         }
-        Reply::NotRun { reached: true, .. } => (Word::TurnedAway, Some(true)),
-        Reply::NotRun { kind: Kind::Budget, .. } => (Word::Denied, None),
-        Reply::NotRun { .. } => (Word::Refused, None),
+        Reply::NotRun { reached: true, .. } => {
+            (Outcome::InstanceRejected, Some(true))
+        }
+        Reply::NotRun { kind: Kind::Budget, .. } => {
+            (Outcome::BudgetExhausted, None)
+        }
+        Reply::NotRun { .. } => (Outcome::NodeRejected, None),
         // It tells of the request, not of the instance's next lifetime.
-        Reply::Crashed(_) => (Word::Unknown, None),
-        Reply::Unknown(_) => (Word::Unknown, Some(true)),
+        Reply::Crashed(_) => (Outcome::Unknown, None),
+        Reply::Unknown(_) => (Outcome::Unknown, Some(true)),
     };
     balance.done(node, failed);
     match word {
         // Where all siblings fail as well, the cause lies deeper.
-        Word::Failed if !balance.may_help(node) => Word::Served,
+        Outcome::Failed if !balance.retry_may_succeed(node) => Outcome::Served,
         word => word,
     }
 }
@@ -389,7 +393,7 @@
         evidence: state.evidence(request.fingerprint),
         effect: request.route.effect,
         priority: request.urgency,
-        target: request.route.target,
+        target: request.route.target_latency,
         left: request.deadline.since(now),
         caller_left: request.caller_deadline.since(now),
         repeat: course.way.arrivals() > 0,
--- a/crates/walnutmoor/src/mesh/ingress.rs
+++ b/crates/walnutmoor/src/mesh/ingress.rs
@@ -182,7 +182,7 @@
     ) -> Result<Arrival, Box<Turned>> {
         let attempt = header::attempt(&head.headers).unwrap_or_default();
         let mut stay = Stay::new(state, attempt);
-        let body_max = state.table().unwrap_or_default().limits.body;
+        let body_max = state.table().unwrap_or_default().limits.max_body_bytes;
         match look_up(state, &stay, &head) {
             Ok((route, origin)) => {
                 stay.route = route.name.clone();
@@ -278,7 +278,7 @@
     /// account's flood is not taken for demand, and then as load allows.
     async fn carry(&mut self, state: &Rc<State>) -> Result<Answer, Refusal> {
         let account = self.origin.account().cloned();
-        let target = self.route.target;
+        let target = self.route.target_latency;
         let permit = state.acquire(account.as_deref(), target).await?;
         let request = match admission::admit(state, self) {
             Ok(request) => request,
@@ -314,7 +314,7 @@
     let origin = identify(state, &table.accounts, &route, stay, head)?;
     if let Framing::Length(length) = head.framing {
         let length = usize::try_from(length).unwrap_or(usize::MAX);
-        if length > table.limits.body {
+        if length > table.limits.max_body_bytes {
             return Err(Kind::TooLarge);
         }
         if length > held_max(state).saturating_sub(state.held.get()) {
--- a/crates/walnutmoor/src/mesh/ingress/admission.rs
+++ b/crates/walnutmoor/src/mesh/ingress/admission.rs
@@ -10,7 +10,7 @@
     error::{Kind, Ran, Refusal},
     footprint::Key,
     poison::SPREAD_FROM,
-    retry_budget::{Asker, Lot},
+    retry_budget::{Priority, SampleKey},
     table::{Effect, Route},
     throttle::Ended,
     time::Millis,
@@ -50,7 +50,7 @@
         Origin::Caller(_) => None,
     };
     if parent.is_none() && !is_let_in(state, &stay.attempt, route, left) {
-        let span = route.target.0 as f64 * RETRY_CUT;
+        let span = route.target_latency.0 as f64 * RETRY_CUT;
         let refusal = Refusal::new(Kind::Overloaded, Ran::No);
         return Err(refusal.retry_after(Millis(span as u64)));
     }
@@ -100,8 +100,9 @@
     if route.effect == Effect::Idempotent {
         return true;
     }
-    let lot = Lot::of(header::root(attempt));
-    throttle.carries(&route.name, Asker { rank: route.priority, lot })
+    let sample_key = SampleKey::of(header::root(attempt));
+    throttle
+        .carries(&route.name, Priority { rank: route.priority, sample_key })
 }
 
 pub(super) fn path(head: &Head) -> String {
--- a/crates/walnutmoor/src/mesh/node.rs
+++ b/crates/walnutmoor/src/mesh/node.rs
@@ -188,7 +188,7 @@
                 ("route", route.as_str().into()),
                 ("let_in", open.into()),
                 ("demand", pressure.demand.into()),
-                ("pressed", pressure.pressed.into()),
+                ("pressed", pressure.shedding.into()),
             ];
             let now = state.now();
             state.journal.request(now, Event::Admission, "", &fields);
@@ -244,7 +244,7 @@
         }
         if let Some(table) = state.table() {
             let service = table.service(&state.settings.service);
-            let path = service.map(|spec| spec.health.clone());
+            let path = service.map(|spec| spec.health_path.clone());
             health(&state, &path.unwrap_or("/health".into())).await;
         }
     }
--- a/crates/walnutmoor/src/mesh/run.rs
+++ b/crates/walnutmoor/src/mesh/run.rs
@@ -44,7 +44,7 @@
         serve.repeated.set(serve.repeated.get() + 1);
     }
     if call.echo && !call.repeat {
-        serve.repeats.borrow_mut().echo(now);
+        serve.repeats.borrow_mut().record_nested(now);
     }
     let parent =
         Parent { priority: call.priority, repeat: call.repeat || call.echo };
@@ -80,7 +80,7 @@
     }
     let answered = matches!(outcome, Outcome::Answer(..));
     let turned_away = matches!(outcome, Outcome::Answer(Verdict::NotRun, ..));
-    serve.repeats.borrow_mut().arrived(turned_away);
+    serve.repeats.borrow_mut().record_arrival(turned_away);
     let mut footprint = serve.footprint(&attempt);
     let service = &state.settings.service;
     let ended = state.now();
--- a/crates/walnutmoor/src/mesh/serve.rs
+++ b/crates/walnutmoor/src/mesh/serve.rs
@@ -21,9 +21,9 @@
     error::Kind,
     footprint::Footprint,
     id::CallId,
-    lifetime::Belief,
+    lifetime::Tracker,
     poison::{Fingerprint, HOLD, Isolation, Standing, Turn},
-    retry_budget::{self, Asker, Lot, Repeats},
+    retry_budget::{self, Priority, RetryBudget, SampleKey},
     table::Effect,
     time::Millis,
 };
@@ -169,7 +169,7 @@
 #[derive(Debug)]
 pub struct Serve {
     pub(super) bulkhead: RefCell<Bulkhead>,
-    pub(super) repeats: RefCell<Repeats>,
+    pub(super) repeats: RefCell<RetryBudget>,
     /// What all instances of the service may repeat besides.
     slack: Option<f64>,
     pub(super) jobs: RefCell<Map<CallId, Job>>,
@@ -180,7 +180,7 @@
     /// Tells when the instance has crashed.
     pub(super) detector: Detector,
     /// What is believed of the instance.
-    pub(super) belief: RefCell<Belief>,
+    pub(super) belief: RefCell<Tracker>,
     pub(super) suspended: Cell<bool>,
     pub(super) retired: Cell<bool>,
     last: Cell<u64>,
@@ -205,7 +205,7 @@
             config = config.total(ratio * TOTAL_PART);
             let total = ratio * LEAF_TOTAL_PART;
             config = config.leaf(ratio * LEAF_PART, total);
-            config = config.earlier(EARLIER_PART);
+            config = config.carry_over(EARLIER_PART);
         }
         let slack = bounds.repeat_slack.map(|slack| slack * SLACK_PART);
         if let Some(slack) = slack {
@@ -216,13 +216,13 @@
         }
         Serve {
             bulkhead: RefCell::new(Bulkhead::new()),
-            repeats: RefCell::new(Repeats::new(config)),
+            repeats: RefCell::new(RetryBudget::new(config)),
             slack,
             jobs: RefCell::new(Map::default()),
             runs: RefCell::new(Map::default()),
             isolation: RefCell::new(Isolation::new()),
             detector: Detector::default(),
-            belief: RefCell::new(Belief::new()),
+            belief: RefCell::new(Tracker::new()),
             suspended: Cell::new(false),
             retired: Cell::new(false),
             last: Cell::new(0),
@@ -254,7 +254,7 @@
 
     /// True if the instance has not been heard of at all.
     pub fn is_unknown(&self) -> bool {
-        self.belief.borrow().known().is_none()
+        self.belief.borrow().current().is_none()
     }
 
     /// True if the instance was heard of and is leaving or gone.
@@ -272,7 +272,7 @@
     pub fn parent(&self, now: Millis, attempt: &str) -> Option<Parent> {
         let parent = header::parent(attempt)?;
         let parent = self.runs.borrow().get(parent)?.parent;
-        self.repeats.borrow_mut().call(now);
+        self.repeats.borrow_mut().record_call(now);
         Some(parent)
     }
 
@@ -359,8 +359,8 @@
         match offer {
             Offer::Run => self.run(state, id),
             Offer::Wait => self.waiting.notify_one(),
-            Offer::Full { retry } => {
-                self.drop_job(state, id, Kind::Queued, retry);
+            Offer::Full { retry_after } => {
+                self.drop_job(state, id, Kind::Queued, retry_after);
             }
             Offer::Closed => {
                 self.drop_job(state, id, Kind::Leaving, Millis(0));
@@ -395,12 +395,12 @@
     fn count(&self, now: Millis, call: &Call) -> bool {
         let mut repeats = self.repeats.borrow_mut();
         if call.repeat {
-            let lot = Lot::of(header::root(&call.attempt));
-            let asker = Asker { rank: call.priority, lot };
-            return repeats.try_repeat_for(now, asker);
+            let sample_key = SampleKey::of(header::root(&call.attempt));
+            let priority = Priority { rank: call.priority, sample_key };
+            return repeats.try_retry_for(now, priority);
         }
         if !call.moved && !call.echo {
-            repeats.first(now);
+            repeats.record_request(now);
         }
         true
     }
--- a/crates/walnutmoor/src/mesh/state.rs
+++ b/crates/walnutmoor/src/mesh/state.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, rngs::SmallRng, seq::SliceRandom};
 use tokio::time::Instant;
 use walnutmoor_core::{
-    balance::Balance,
+    balance::Balancer,
     bulkhead::Load,
     digest::Map,
     id::{Incarnation, NodeId},
@@ -57,7 +57,7 @@
     /// The log.
     pub journal: Journal,
     /// What is known of instances.
-    pub balance: RefCell<Balance>,
+    pub balance: RefCell<Balancer>,
     /// Admission at the way in.
     pub throttle: RefCell<Throttle>,
     /// Deals out splits.
@@ -114,7 +114,7 @@
         let mut rng: SmallRng = rand::make_rng();
         let life = Incarnation(rng.random());
         let me = NodeId(settings.address());
-        let balance = Balance::new(settings.zone.clone());
+        let balance = Balancer::new(settings.zone.clone());
         let serve = Serve::new(&settings);
         Rc::new(State {
             me,
--- a/crates/walnutmoor/tests/adopt.rs
+++ b/crates/walnutmoor/tests/adopt.rs
@@ -32,7 +32,7 @@
         prefix: "/".into(),
         effect: Effect::Once,
         timeout: Millis(1_000),
-        target: Millis(500),
+        target_latency: Millis(500),
         priority: 0,
         attempts: 1,
         is_public: false,
--- a/crates/walnutmoor/tests/mesh/fixture.rs
+++ b/crates/walnutmoor/tests/mesh/fixture.rs
@@ -46,7 +46,7 @@
         prefix: format!("/{name}/"),
         effect,
         timeout: Millis(5_000),
-        target: Millis(1_000),
+        target_latency: Millis(1_000),
         priority: 0,
         attempts: 2,
         is_public: false,
@@ -63,7 +63,7 @@
 }
 
 pub fn desired(version: u64, routes: &[Route]) -> String {
-    let spec = Spec { health: "/health".into(), connections: 64 };
+    let spec = Spec { health_path: "/health".into(), max_connections: 64 };
     let services = [("desk".parse().unwrap(), spec)];
     standin::desired(version, routes, &services, &Limits::default())
 }
