--- a/crates/walnutmoor/src/mesh/connection.rs
+++ b/crates/walnutmoor/src/mesh/connection.rs
@@ -133,7 +133,7 @@
 impl Connection {
     fn new(state: Rc<State>) -> Connection {
         let limits = state.table().map(|table| table.limits);
-        let head = limits.unwrap_or_default().head;
+        let head = limits.unwrap_or_default().max_head_bytes;
         let settings = &state.settings.read_ahead;
         let open = &state.connections;
         open.set(open.get() + 1);
