--- a/crates/walnutmoor-core/src/poison.rs
+++ b/crates/walnutmoor-core/src/poison.rs
@@ -44,12 +44,12 @@
 mod evidence;
 mod fingerprint;
 mod isolation;
-mod place;
+mod placement;
 mod register;
-mod sound;
+mod success;
 
 pub use evidence::{Crash, Evidence, SPREAD_FROM};
 pub use fingerprint::{Fingerprint, Hasher};
 pub use isolation::{Isolation, Turn};
-pub use place::{HOLD, Place, place};
+pub use placement::{HOLD, Place, place};
 pub use register::{Change, Register, Standing};
--- a/crates/walnutmoor-core/src/poison/register.rs
+++ b/crates/walnutmoor-core/src/poison/register.rs
@@ -2,7 +2,7 @@
 Under which requests instances have ended.
 */
 
-use super::{Crash, Evidence, Fingerprint, sound::Sound};
+use super::{Crash, Evidence, Fingerprint, success::Sound};
 use crate::{digest::Map, time::Millis};
 
 /// Instances that must have ended under a request before it is refused. Two
