--- a/crates/walnutmoor-core/src/catch_up.rs
+++ b/crates/walnutmoor-core/src/catch_up.rs
@@ -1,14 +1,13 @@
 /*!
-When a node asks a peer for a newer desired state, and which peer.
+Decides when a node requests a newer desired state from a peer, and which.
 
-The load pattern: many nodes start at once, and each peer that has the desired
-state says so. Asked by everybody for the whole of it, they send it as often as
-there are links: at 288 nodes 15,300 times and 73 MB within the first seconds.
-So one peer is asked, and the next one only when that one has not answered.
+When many nodes start at once, each of them is told by many peers that they
+have a newer state. Requesting it from every such peer would transfer it once
+per link, so a node has one request outstanding and tries the next peer only
+after a timeout.
 
-A node that watches the store hears of a change from there some milliseconds
-later anyway, and asks only if it does not. One that has no desired state
-serves nobody and asks at once.
+A node that watches the store first waits for its own watch to deliver the
+change. A node without any desired state cannot serve and asks at once.
 
 # Example
 
@@ -23,80 +22,86 @@
 };
 let id = |port| NodeId(([127, 0, 0, 1], port).into());
 let mut catch_up = CatchUp::new();
-catch_up.told(Millis(0), edition(7), id(1));
-catch_up.told(Millis(0), edition(7), id(2));
-assert_eq!(catch_up.ask(Millis(0), edition(6), false), Some(id(2)));
-assert_eq!(catch_up.ask(Millis(1), edition(6), false), None);
+catch_up.record_offer(Millis(0), edition(7), id(1));
+catch_up.record_offer(Millis(0), edition(7), id(2));
+assert_eq!(catch_up.next_peer(Millis(0), edition(6), false), Some(id(2)));
+assert_eq!(catch_up.next_peer(Millis(1), edition(6), false), None);
 ```
 */
 
 use crate::{edition::Edition, id::NodeId, time::Millis};
 
-/// How long a node that watches waits for its own watch, and how long any node
-/// waits for the peer that it asked. A watch brings a change within some
-/// milliseconds, and a peer within a round trip.
-const PATIENCE: Millis = Millis(200);
+/// How long a watcher waits for its own watch, and any node for the answer of
+/// a peer.
+const REPLY_TIMEOUT: Millis = Millis(200);
 
-/// A desired state that peers have told of.
+/// A desired state that a peer has offered.
 #[derive(Clone, Copy, Debug)]
-struct News {
+struct Offer {
     edition: Edition,
-    /// When it was first told of, or last asked for.
+    /// When it was first offered, or last requested.
     since: Millis,
-    /// Who told last.
+    /// The peer that offered it last.
     peer: NodeId,
-    is_asked: bool,
+    is_requested: bool,
 }
 
-/// What peers have told of a desired state that is newer than the own one.
+/// Tracks the newest desired state that peers have offered.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CatchUp {
-    news: Option<News>,
+    offer: Option<Offer>,
 }
 
 impl CatchUp {
-    /// Nothing was told.
+    /// No desired state has been offered.
     pub fn new() -> CatchUp {
         CatchUp::default()
     }
 
-    /// A peer has told that it has this one.
-    pub fn told(&mut self, now: Millis, edition: Edition, peer: NodeId) {
-        match &mut self.news {
-            Some(news) if news.edition >= edition => news.peer = peer,
+    /// Records that a peer has this desired state.
+    pub fn record_offer(
+        &mut self,
+        now: Millis,
+        edition: Edition,
+        peer: NodeId,
+    ) {
+        match &mut self.offer {
+            Some(offer) if offer.edition >= edition => offer.peer = peer,
             _ => {
-                let is_asked = false;
+                let is_requested = false;
                 let since = now;
-                self.news = Some(News { edition, since, peer, is_asked });
+                self.offer =
+                    Some(Offer { edition, since, peer, is_requested });
             }
         }
     }
 
-    /// True if a peer has told of one that is newer than this.
+    /// True if a peer has offered a desired state newer than this.
     pub fn has_newer(&self, than: Edition) -> bool {
-        self.news.is_some_and(|news| news.edition > than)
+        self.offer.is_some_and(|offer| offer.edition > than)
     }
 
-    /// The peer to be asked now, if any, by a node that has this one;
-    /// `watches` tells whether it watches the store itself. Counts as asked.
-    pub fn ask(
+    /// Returns the peer to send a request to now, if any, and records the
+    /// request. `own` is the desired state of this node, and `watches` tells
+    /// whether the node watches the store itself.
+    pub fn next_peer(
         &mut self,
         now: Millis,
         own: Edition,
         watches: bool,
     ) -> Option<NodeId> {
-        let news = self.news.as_mut()?;
-        if news.edition <= own {
-            self.news = None;
+        let offer = self.offer.as_mut()?;
+        if offer.edition <= own {
+            self.offer = None;
             return None;
         }
-        let hears = watches && !own.is_none();
-        let waits = news.is_asked || hears;
-        if waits && now.since(news.since) < PATIENCE {
+        let expects_watch = watches && !own.is_none();
+        let is_waiting = offer.is_requested || expects_watch;
+        if is_waiting && now.since(offer.since) < REPLY_TIMEOUT {
             return None;
         }
-        news.since = now;
-        news.is_asked = true;
-        Some(news.peer)
+        offer.since = now;
+        offer.is_requested = true;
+        Some(offer.peer)
     }
 }
--- a/crates/walnutmoor-core/src/config.rs
+++ b/crates/walnutmoor-core/src/config.rs
@@ -1,17 +1,16 @@
 /*!
-Configuration: the classes in force, the journal of changes, and how a
-change gets accepted.
+The configuration of classes, its change journal and the commit protocol.
 
-All configuration lives in one object of the platform, changed only by
-compare-and-set. Each accepted change adds one to the [`Revision`] and one
-entry to the journal inside the same object, so no change is without its
-entry. The revision, not the platform's version, is the order that nodes
-trust: a store that comes back with an older state has an older revision, and
-no node adopts it.
+The configuration is a single object of the platform, changed only by
+compare-and-set. Each accepted change increments the [`Revision`] and appends
+an entry to the journal in the same object, so that no change is without its
+entry. Nodes order configurations by revision, not by the platform's version:
+a store that was restored from a backup has an older revision, which no node
+adopts.
 
-[`Proposer`] carries changes through the platform. It takes all changes that
-wait at one node into one write, and settles a lost answer by reading back
-the change's own id before anyone is told.
+[`Proposer`] commits changes to the platform. It batches all changes that are
+pending at a node into one write. If the answer to a write is lost, it reads
+the object back and looks for the id of the change before it reports a result.
 
 # Example
 
@@ -44,13 +43,13 @@
     time::Millis,
 };
 
-/// How many journal entries stay in the object itself.
+/// The most journal entries kept in the configuration object.
 pub const JOURNAL_MAX: usize = 64;
 
-/// How many journal entries go to one page of the audit trail.
-pub const PAGE: usize = 32;
+/// The number of journal entries in one page of the audit trail.
+pub const PAGE_ENTRIES: usize = 32;
 
-/// What a change does.
+/// The operation of a change.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Op {
@@ -61,7 +60,7 @@
 }
 
 impl Op {
-    /// The class that this change is about.
+    /// The class that the operation changes.
     pub fn class(&self) -> &id::Class {
         match self {
             Op::Set(class) => &class.name,
@@ -70,43 +69,43 @@
     }
 }
 
-/// Who proposes a change, and when.
+/// The origin of a change.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Author {
-    /// The id of this change, chosen by the proposer.
+    /// The id of the change, chosen by the proposer.
     pub change: Change,
-    /// The operator.
+    /// The operator's name.
     pub by: String,
-    /// Wall-clock time in milliseconds since 1970, for the audit trail only.
+    /// Unix time in milliseconds, for the audit trail only.
     pub at: u64,
 }
 
-/// One accepted change.
+/// An accepted change, as recorded in the journal.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Entry {
-    /// The revision that this change made.
+    /// The revision that resulted from the change.
     pub revision: Revision,
-    /// Who and when.
+    /// The origin of the change.
     pub author: Author,
-    /// What it did.
+    /// The operation.
     pub op: Op,
-    /// The class before the change.
+    /// The class before the change, if it existed.
     pub before: Option<Class>,
 }
 
-/// The configuration: classes and the newest part of the journal.
+/// The classes and the newest part of the journal.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Config {
-    /// One more for each change.
+    /// Incremented by each change.
     pub revision: Revision,
     /// The classes by name.
     pub classes: BTreeMap<id::Class, Class>,
-    /// The newest changes, oldest first.
+    /// The latest changes, oldest first.
     pub journal: Vec<Entry>,
 }
 
 impl Config {
-    /// Applies one change.
+    /// Applies a change as the next revision.
     pub fn apply(&mut self, author: Author, op: Op) {
         self.revision = Revision(self.revision.0 + 1);
         let before = match &op {
@@ -119,8 +118,9 @@
         self.journal.push(Entry { revision, author, op, before });
     }
 
-    /// Applies a change that was accepted elsewhere, if it is the next one.
-    pub fn follow(&mut self, entry: &Entry) -> bool {
+    /// Applies a change accepted elsewhere. Returns false, and does nothing,
+    /// if its revision is not the next one.
+    pub fn apply_entry(&mut self, entry: &Entry) -> bool {
         if entry.revision.0 != self.revision.0 + 1 {
             return false;
         }
@@ -129,56 +129,58 @@
         true
     }
 
-    /// The journal entry of a change, if it is recent.
+    /// The journal entry of a change, if the journal still contains it.
     pub fn find(&self, change: &Change) -> Option<&Entry> {
         self.journal.iter().find(|e| e.author.change == *change)
     }
 
-    /// The changes after a revision, or `None` if the journal is too short.
+    /// The changes after a revision, or `None` if the journal does not reach
+    /// back that far.
     pub fn since(&self, known: Revision) -> Option<&[Entry]> {
-        let behind = self.revision.0.checked_sub(known.0)? as usize;
-        let start = self.journal.len().checked_sub(behind)?;
+        let missing = self.revision.0.checked_sub(known.0)? as usize;
+        let start = self.journal.len().checked_sub(missing)?;
         Some(&self.journal[start..])
     }
 
     fn trim(&mut self) {
         if self.journal.len() > JOURNAL_MAX {
-            let spare = self.journal.len() - JOURNAL_MAX;
-            self.journal.drain(..spare);
+            let excess = self.journal.len() - JOURNAL_MAX;
+            self.journal.drain(..excess);
         }
     }
 
-    /// The oldest full page of the journal, if it is time to move it.
-    fn page(&self) -> Option<&[Entry]> {
-        if self.journal.len() <= JOURNAL_MAX - PAGE {
+    /// The oldest full page of the journal, if it is due to be moved to the
+    /// audit trail.
+    fn due_page(&self) -> Option<&[Entry]> {
+        if self.journal.len() <= JOURNAL_MAX - PAGE_ENTRIES {
             return None;
         }
-        let aligned =
-            |e: &Entry| (e.revision.0 - 1).is_multiple_of(PAGE as u64);
-        let start = self.journal.iter().position(aligned)?;
-        self.journal.get(start..start + PAGE)
+        let is_aligned =
+            |e: &Entry| (e.revision.0 - 1).is_multiple_of(PAGE_ENTRIES as u64);
+        let start = self.journal.iter().position(is_aligned)?;
+        self.journal.get(start..start + PAGE_ENTRIES)
     }
 
     fn to_json(&self) -> String {
         serde_json::to_string(self).expect("plain data serializes")
     }
 
-    /// Reads the configuration from its object.
+    /// Parses the value of the configuration object.
     ///
     /// # Errors
     ///
-    /// If the value is not a configuration.
+    /// Returns an error if the text is not a valid configuration.
     pub fn from_json(text: &str) -> Result<Config, serde_json::Error> {
         serde_json::from_str(text)
     }
 }
 
-/// The platform key of the audit page that starts at a revision.
+/// The platform key of the audit page whose first entry has this revision.
 pub fn page_key(first: Revision) -> Key {
     Key(format!("audit/{:012}", first.0))
 }
 
-/// The classes in force, ranked for look-up at each call.
+/// The classes in force with their ranks, for look-up by name.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     revision: Revision,
@@ -186,31 +188,31 @@
 }
 
 impl Table {
-    /// Ranks the classes of a configuration; the class of calls that servers
-    /// start on their own is always there.
+    /// Ranks the classes of a configuration. The class of calls that servers
+    /// initiate themselves is added if it is missing.
     pub fn new(config: &Config) -> Table {
-        let own = Class::internal();
-        let missing = !config.classes.contains_key(&own.name);
-        let extra = missing.then_some(&own);
-        let all = config.classes.values().chain(extra);
+        let internal = Class::internal();
+        let is_missing = !config.classes.contains_key(&internal.name);
+        let added = is_missing.then_some(&internal);
+        let all = config.classes.values().chain(added);
         let row = |(c, r): (&Class, Rank)| (c.name.clone(), (c.clone(), r));
         let classes = class::rank(all).map(row).collect();
         Table { revision: config.revision, classes }
     }
 
-    /// The revision that this table was made from.
+    /// The revision of the configuration that this table was built from.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The class of this name, with its rank.
+    /// The class with this name and its rank.
     pub fn get(&self, name: &id::Class) -> Option<&(Class, Rank)> {
         self.classes.get(name)
     }
 }
 
 symbols! {
-    /// Where a batch of changes is on its way through the platform.
+    /// The commit state of a batch of changes.
     pub enum State {
         Reading = "reading",
         Paging = "paging",
@@ -223,7 +225,7 @@
 }
 
 symbols! {
-    /// What moves a batch along.
+    /// An event that changes the commit state of a batch.
     pub enum Trigger {
         Page = "page",
         Paged = "paged",
@@ -238,98 +240,98 @@
     }
 }
 
-/// The chart as shipped.
+/// The built-in state chart of the commit protocol.
 pub const CHART: &str = include_str!("../charts/config.yaml");
 
-/// A change on its way, and who waits for it.
+/// A change to be committed, and who receives the result.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Proposal<A> {
-    /// Whom to tell.
-    pub ask: A,
-    /// Who and when.
+    /// The receiver of the result.
+    pub reply_to: A,
+    /// The origin of the change.
     pub author: Author,
-    /// What it does.
+    /// The operation.
     pub op: Op,
-    /// The revision that it is based on, if the operator named one.
+    /// The revision that the change requires to be in force, if any.
     pub base: Option<Revision>,
-    /// When to stop trying.
+    /// When to give up.
     pub deadline: Millis,
 }
 
-/// What a [`Proposer`] wants done.
+/// An action that a [`Proposer`] requests from its driver.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step<A> {
-    /// Ask the platform.
-    Ask(Request),
-    /// The change is settled.
-    Tell(A, Result<Revision, Refusal>),
-    /// The platform holds this configuration.
+    /// Send a request to the platform.
+    Request(Request),
+    /// Report the result of a change.
+    Reply(A, Result<Revision, Refusal>),
+    /// Adopt the configuration that is now stored in the platform.
     Adopt(Config, Version),
 }
 
-/// How long to wait after a lost answer before asking again.
-const PAUSE: Millis = Millis(200);
+/// Delay before a request is repeated whose answer was lost.
+const RETRY_DELAY: Millis = Millis(200);
 
-/// Carries changes through the platform, one write at a time.
+/// Commits changes to the platform, one write at a time.
 #[derive(Debug)]
 pub struct Proposer<A> {
     chart: Chart<State, Trigger>,
     state: Option<State>,
-    waiting: VecDeque<Proposal<A>>,
+    pending: VecDeque<Proposal<A>>,
     batch: Vec<Proposal<A>>,
-    written: Option<Config>,
+    candidate: Option<Config>,
     base: Option<Version>,
-    resume: Option<Millis>,
+    retry_at: Option<Millis>,
     capacity: usize,
 }
 
 impl<A: Clone> Proposer<A> {
-    /// A proposer that holds at most `capacity` changes.
+    /// A proposer for at most `capacity` unsettled changes.
     pub fn new(capacity: usize) -> Proposer<A> {
         Proposer {
-            chart: Chart::parse(CHART).expect("the shipped chart loads"),
+            chart: Chart::parse(CHART).expect("the built-in chart is valid"),
             state: None,
-            waiting: VecDeque::new(),
+            pending: VecDeque::new(),
             batch: Vec::new(),
-            written: None,
+            candidate: None,
             base: None,
-            resume: None,
+            retry_at: None,
             capacity,
         }
     }
 
-    /// How many changes are not settled yet.
+    /// The number of unsettled changes.
     pub fn len(&self) -> usize {
-        self.waiting.len() + self.batch.len()
+        self.pending.len() + self.batch.len()
     }
 
-    /// True if nothing is under way.
+    /// True if there are no unsettled changes.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Takes a change.
+    /// Submits a change. It is refused if the proposer is at capacity.
     pub fn propose(&mut self, new: Proposal<A>, out: &mut Vec<Step<A>>) {
         if self.len() >= self.capacity {
             let full = Refusal::new(Kind::Full, Ran::No);
             let full = full.retry_after(Millis(1_000));
-            out.push(Step::Tell(new.ask, Err(full)));
+            out.push(Step::Reply(new.reply_to, Err(full)));
             return;
         }
-        self.waiting.push_back(new);
+        self.pending.push_back(new);
         if self.state.is_none() {
             self.begin(out);
         }
     }
 
     fn begin(&mut self, out: &mut Vec<Step<A>>) {
-        self.batch.extend(self.waiting.drain(..));
+        self.batch.extend(self.pending.drain(..));
         if self.batch.is_empty() {
             self.state = None;
             return;
         }
         self.state = Some(self.chart.initial());
-        out.push(Step::Ask(Request::Get { key: Key::config() }));
+        out.push(Step::Request(Request::Get { key: Key::config() }));
     }
 
     fn fire(&mut self, trigger: Trigger) {
@@ -337,9 +339,9 @@
         self.state = self.chart.next(state, trigger);
     }
 
-    /// Takes the platform's reply to the last request. `in_force` is what
-    /// this node already trusts; an older store is written over with it.
-    pub fn reply(
+    /// Handles the platform's reply to the latest request. `in_force` is the
+    /// configuration of this node; it replaces an older one in the store.
+    pub fn handle_reply(
         &mut self,
         now: Millis,
         reply: Reply,
@@ -348,32 +350,33 @@
     ) {
         match (self.state, reply) {
             (Some(State::Reading | State::Settling), Reply::Found(object)) => {
-                self.read(Some(object), in_force, out)
+                self.handle_object(Some(object), in_force, out)
             }
             (Some(State::Reading | State::Settling), Reply::Absent) => {
-                self.read(None, in_force, out)
+                self.handle_object(None, in_force, out)
             }
             (Some(State::Paging), Reply::Written(_) | Reply::Conflict) => {
                 self.fire(Trigger::Paged);
-                self.write(out);
+                self.write_config(out);
             }
             (Some(State::Writing), Reply::Written(version)) => {
                 self.accept(version, out)
             }
             (Some(State::Writing), Reply::Conflict) => {
                 self.fire(Trigger::Conflict);
-                out.push(Step::Ask(Request::Get { key: Key::config() }));
+                out.push(Step::Request(Request::Get { key: Key::config() }));
             }
             (Some(State::Writing), _) => {
                 self.fire(Trigger::Lost);
-                self.resume = Some(now + PAUSE);
+                self.retry_at = Some(now + RETRY_DELAY);
             }
-            (Some(_), _) => self.resume = Some(now + PAUSE),
+            (Some(_), _) => self.retry_at = Some(now + RETRY_DELAY),
             (None, _) => {}
         }
     }
 
-    fn read(
+    /// Handles the stored configuration object; `None` if there is none.
+    fn handle_object(
         &mut self,
         object: Option<Object>,
         in_force: &Config,
@@ -383,10 +386,10 @@
         let stored = object
             .and_then(|o| Config::from_json(&o.value).ok())
             .unwrap_or_default();
-        self.tell_found(&stored, out);
-        let stale = stored.revision < in_force.revision;
-        let base = if stale { in_force.clone() } else { stored };
-        self.tell_mismatched(&base, out);
+        self.reply_accepted(&stored, out);
+        let is_stale = stored.revision < in_force.revision;
+        let base = if is_stale { in_force.clone() } else { stored };
+        self.reply_mismatched(&base, out);
         if self.batch.is_empty() {
             self.finish(out);
             return;
@@ -394,67 +397,72 @@
         if self.state == Some(State::Settling) {
             self.fire(Trigger::Missing);
         }
-        self.written = Some(self.build(base));
-        self.page_or_write(out);
+        self.candidate = Some(self.apply_batch(base));
+        self.write_page_or_config(out);
     }
 
-    /// Changes whose entry is in the journal were accepted earlier: the
-    /// answer to that write was lost.
-    fn tell_found(&mut self, stored: &Config, out: &mut Vec<Step<A>>) {
+    /// Reports changes that the stored journal contains: they were accepted by
+    /// a write whose answer was lost.
+    fn reply_accepted(&mut self, stored: &Config, out: &mut Vec<Step<A>>) {
         self.batch.retain(|proposal| {
             let Some(entry) = stored.find(&proposal.author.change) else {
                 return true;
             };
             let revision = entry.revision;
-            out.push(Step::Tell(proposal.ask.clone(), Ok(revision)));
+            out.push(Step::Reply(proposal.reply_to.clone(), Ok(revision)));
             false
         });
     }
 
-    fn tell_mismatched(&mut self, base: &Config, out: &mut Vec<Step<A>>) {
-        // A change with a base goes alone into its write: after any other
-        // change its base would no longer be the revision in force.
+    /// Refuses changes whose base is not the revision in force, and reduces
+    /// the batch to a single change if one with a base remains.
+    fn reply_mismatched(&mut self, base: &Config, out: &mut Vec<Step<A>>) {
+        // A change with a base is written alone: after any other change its
+        // base would no longer be the revision in force.
         self.batch.retain(|proposal| {
             if proposal.base.is_none_or(|b| b == base.revision) {
                 return true;
             }
             let refusal = Refusal::new(Kind::Conflict, Ran::No);
-            out.push(Step::Tell(proposal.ask.clone(), Err(refusal)));
+            out.push(Step::Reply(proposal.reply_to.clone(), Err(refusal)));
             false
         });
-        let based = self.batch.iter().position(|p| p.base.is_some());
-        if let Some(first) = based {
+        let with_base = self.batch.iter().position(|p| p.base.is_some());
+        if let Some(first) = with_base {
             let chosen = self.batch.swap_remove(first);
             let rest = std::mem::replace(&mut self.batch, vec![chosen]);
             for proposal in rest.into_iter().rev() {
-                self.waiting.push_front(proposal);
+                self.pending.push_front(proposal);
             }
         }
     }
 
-    fn build(&self, mut config: Config) -> Config {
+    fn apply_batch(&self, mut config: Config) -> Config {
         for proposal in &self.batch {
             config.apply(proposal.author.clone(), proposal.op.clone());
         }
         config
     }
 
-    fn page_or_write(&mut self, out: &mut Vec<Step<A>>) {
-        let Some(config) = &self.written else { return };
-        let Some(page) = config.page() else {
+    /// Moves a page to the audit trail if one is due, and otherwise writes the
+    /// configuration.
+    fn write_page_or_config(&mut self, out: &mut Vec<Step<A>>) {
+        let Some(config) = &self.candidate else { return };
+        let Some(page) = config.due_page() else {
             self.fire(Trigger::Base);
-            self.write(out);
+            self.write_config(out);
             return;
         };
         let first = page[0].revision;
-        let value = serde_json::to_string(page).expect("plain data");
+        let value =
+            serde_json::to_string(page).expect("plain data serializes");
         let key = page_key(first);
-        out.push(Step::Ask(Request::Put { key, base: None, value }));
+        out.push(Step::Request(Request::Put { key, base: None, value }));
         self.fire(Trigger::Page);
     }
 
-    fn write(&mut self, out: &mut Vec<Step<A>>) {
-        let Some(config) = &mut self.written else { return };
+    fn write_config(&mut self, out: &mut Vec<Step<A>>) {
+        let Some(config) = &mut self.candidate else { return };
         config.trim();
         let value = config.to_json();
         if value.len() > VALUE_MAX {
@@ -462,16 +470,16 @@
             return;
         }
         let (key, base) = (Key::config(), self.base);
-        out.push(Step::Ask(Request::Put { key, base, value }));
+        out.push(Step::Request(Request::Put { key, base, value }));
     }
 
     fn accept(&mut self, version: Version, out: &mut Vec<Step<A>>) {
         self.fire(Trigger::Written);
-        let Some(config) = self.written.take() else { return };
+        let Some(config) = self.candidate.take() else { return };
         for proposal in self.batch.drain(..) {
             let entry = config.find(&proposal.author.change);
             let revision = entry.map_or(config.revision, |e| e.revision);
-            out.push(Step::Tell(proposal.ask, Ok(revision)));
+            out.push(Step::Reply(proposal.reply_to, Ok(revision)));
         }
         out.push(Step::Adopt(config, version));
         self.finish(out);
@@ -481,78 +489,79 @@
         for proposal in self.batch.drain(..) {
             let refusal = Refusal::new(kind, ran);
             let refusal = refusal.retry_after(Millis(2_000));
-            out.push(Step::Tell(proposal.ask, Err(refusal)));
+            out.push(Step::Reply(proposal.reply_to, Err(refusal)));
         }
         self.finish(out);
     }
 
     fn finish(&mut self, out: &mut Vec<Step<A>>) {
         self.state = None;
-        self.resume = None;
+        self.retry_at = None;
         self.begin(out);
     }
 
-    /// When [`Proposer::tick`] has something to do.
+    /// When [`Proposer::tick`] is due; `None` if nothing is scheduled.
     pub fn next_wake(&self) -> Option<Millis> {
-        let all = self.batch.iter().chain(&self.waiting);
+        let all = self.batch.iter().chain(&self.pending);
         let first = all.map(|p| p.deadline).min();
-        [self.resume, first].into_iter().flatten().min()
+        [self.retry_at, first].into_iter().flatten().min()
     }
 
-    /// Asks again after a lost answer, and gives up what is past its
-    /// deadline. A change that was possibly written is `unknown`, for its
-    /// write may still be under way.
+    /// Repeats a request whose answer was lost, and refuses changes past their
+    /// deadline. A change that may have been written is reported as
+    /// [`Ran::Unknown`], since its write may still be in flight.
     pub fn tick(&mut self, now: Millis, out: &mut Vec<Step<A>>) {
-        let unsure =
+        let may_be_written =
             matches!(self.state, Some(State::Writing | State::Settling))
-                || self.written.is_some();
-        let ran = if unsure { Ran::Unknown } else { Ran::No };
-        let late = |p: &Proposal<A>| p.deadline <= now;
-        expire(&mut self.batch, late, ran, out);
-        let mut waiting: Vec<_> = self.waiting.drain(..).collect();
-        expire(&mut waiting, late, Ran::No, out);
-        self.waiting = waiting.into();
+                || self.candidate.is_some();
+        let ran = if may_be_written { Ran::Unknown } else { Ran::No };
+        let is_expired = |p: &Proposal<A>| p.deadline <= now;
+        expire(&mut self.batch, is_expired, ran, out);
+        let mut pending: Vec<_> = self.pending.drain(..).collect();
+        expire(&mut pending, is_expired, Ran::No, out);
+        self.pending = pending.into();
         if self.state.is_some() && self.batch.is_empty() {
             self.fire(Trigger::Expire);
-            self.written = None;
+            self.candidate = None;
             self.finish(out);
             return;
         }
-        if self.resume.is_some_and(|at| at <= now) {
-            self.resume = None;
-            self.again(out);
+        if self.retry_at.is_some_and(|at| at <= now) {
+            self.retry_at = None;
+            self.retry(out);
         }
     }
 
-    fn again(&mut self, out: &mut Vec<Step<A>>) {
+    fn retry(&mut self, out: &mut Vec<Step<A>>) {
         match self.state {
             Some(State::Paging) => {
-                // A page is written once and never changes, so writing it
-                // again is safe whatever became of the first try.
+                // Pages are immutable, so writing one again is safe whether or
+                // not the first write succeeded.
                 self.fire(Trigger::Conflict);
-                out.push(Step::Ask(Request::Get { key: Key::config() }));
+                out.push(Step::Request(Request::Get { key: Key::config() }));
             }
             Some(_) => {
-                out.push(Step::Ask(Request::Get { key: Key::config() }))
+                out.push(Step::Request(Request::Get { key: Key::config() }))
             }
             None => {}
         }
     }
 }
 
+/// Refuses the expired proposals of a list and removes them.
 fn expire<A: Clone>(
-    list: &mut Vec<Proposal<A>>,
-    late: impl Fn(&Proposal<A>) -> bool,
+    proposals: &mut Vec<Proposal<A>>,
+    is_expired: impl Fn(&Proposal<A>) -> bool,
     ran: Ran,
     out: &mut Vec<Step<A>>,
 ) {
-    list.retain(|proposal| {
-        if !late(proposal) {
+    proposals.retain(|proposal| {
+        if !is_expired(proposal) {
             return true;
         }
         let refusal = Refusal::new(Kind::PlatformDown, ran);
         let refusal = refusal.retry_after(Millis(2_000));
-        out.push(Step::Tell(proposal.ask.clone(), Err(refusal)));
+        out.push(Step::Reply(proposal.reply_to.clone(), Err(refusal)));
         false
     });
 }
--- a/crates/walnutmoor-core/src/directory.rs
+++ b/crates/walnutmoor-core/src/directory.rs
@@ -1,11 +1,11 @@
 /*!
-Who is there: the records of all nodes and the backend servers beside them.
+The directory of all nodes and the backend servers beside them.
 
-A [`Record`] is a node's word about itself, ordered by its version; a peer
-may only add that the node looks suspect or dead. The directory keeps the
-newest word on each node, indexes live servers by service and zone, and keeps
-one digest for each bucket of nodes so that two directories can find where
-they differ at the cost of a few bytes.
+A [`Record`] is published by the node that it describes and ordered by its
+version; peers may only change its status to suspect or dead. The directory
+keeps the newest record of each node and indexes live servers by service and
+zone. It also keeps a digest for each bucket of nodes, so that two directories
+can locate their differences cheaply.
 
 # Example
 
@@ -40,7 +40,7 @@
     time::Millis,
 };
 
-/// How a node looks.
+/// Liveness of a node, as in SWIM.
 #[derive(
     Clone,
     Copy,
@@ -54,39 +54,40 @@
     Serialize,
 )]
 pub enum Status {
-    /// It answers.
+    /// It answers probes.
     Alive,
-    /// It did not answer; it may refute this.
+    /// It did not answer a probe; it may refute this.
     Suspect,
-    /// It is held to be gone; it may still refute this.
+    /// It did not refute a suspicion in time; it may still refute this.
     Dead,
-    /// It said good-bye.
+    /// It announced that it left.
     Left,
 }
 
-/// The backend server beside a node, as peers need to know it.
+/// The backend server beside a node, as announced to peers.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 pub struct Offer {
-    /// The service it offers.
+    /// The service that it provides.
     pub service: Service,
-    /// How many calls it runs at a time.
+    /// The number of calls that it runs concurrently.
     pub slots: u32,
-    /// False once it is leaving.
+    /// False once it drains and takes no new calls.
     pub accepts: bool,
 }
 
-/// The newest word on a node.
+/// The state of a node.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 pub struct Record {
-    /// Which node.
+    /// The node.
     pub node: NodeId,
-    /// Its life.
+    /// The incarnation of the node.
     pub incarnation: Incarnation,
-    /// Counts the node's own words, over all of its lives.
+    /// The number of records that the node has published, over all of its
+    /// incarnations.
     pub version: u64,
-    /// How it looks.
+    /// Its liveness.
     pub status: Status,
-    /// Its zone.
+    /// Its availability zone.
     pub zone: Zone,
     /// Its backend server, if one is announced.
     pub offer: Option<Offer>,
@@ -99,55 +100,52 @@
         rank(self) > rank(other)
     }
 
-    /// True unless the node is held to be gone.
+    /// True unless the node is dead or has left.
     pub fn is_live(&self) -> bool {
         matches!(self.status, Status::Alive | Status::Suspect)
     }
 }
 
-/// How many buckets the directory is divided into for repair.
-///
-/// At 14,000 nodes a bucket holds 55 records, some 3 KB: the unit of repair
-/// stays small against a node's 29 KB/s, and the digests of all buckets fit
-/// in 2 KB.
+/// The number of buckets of the directory. A bucket is the unit of repair;
+/// more of them make repair finer and the list of digests longer.
 pub const BUCKETS: usize = 256;
 
-/// How long a dead node's record is kept: longer than regions lose each
-/// other, so that both sides know whom to look for afterwards.
-const KEPT: Millis = Millis(2 * 3_600_000);
+/// How long the record of a dead or departed node is kept. It must outlast
+/// network partitions, so that both sides can find each other afterwards.
+const TOMBSTONE_TTL: Millis = Millis(2 * 3_600_000);
 
-/// The bucket of a node.
+/// The index of a node's bucket.
 pub fn bucket(node: NodeId) -> usize {
     (digest::of(&node) % BUCKETS as u64) as usize
 }
 
-/// Live servers of one service.
+/// Live servers of one service that accept work.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Servers {
-    /// In this node's own zone.
+    /// Servers in this node's own zone.
     pub local: Vec<NodeId>,
-    /// In other zones.
+    /// Servers in other zones.
     pub remote: Vec<NodeId>,
 }
 
-/// What a record changed.
+/// The effect of an applied record.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Changed {
-    /// The record that was replaced.
+    /// The record that was replaced, if the node was known.
     pub before: Option<Record>,
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct Entry {
     record: Record,
     gone_at: Option<Millis>,
 }
 
-/// The records of all nodes.
+/// The newest records of all nodes.
 #[derive(Debug)]
 pub struct Directory {
     zone: Zone,
-    records: Map<NodeId, Held>,
+    records: Map<NodeId, Entry>,
     services: Map<Service, Servers>,
     zones: Map<Zone, Vec<NodeId>>,
     gone: Vec<NodeId>,
@@ -155,7 +153,7 @@
 }
 
 impl Directory {
-    /// An empty directory, as seen from a zone.
+    /// An empty directory of a node in this zone.
     pub fn new(zone: Zone) -> Directory {
         Directory {
             zone,
@@ -167,24 +165,24 @@
         }
     }
 
-    /// How many records are held, the dead included.
+    /// The number of records, including those of dead nodes.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// True if no record is held.
+    /// True if there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
     /// The record of a node.
     pub fn get(&self, node: NodeId) -> Option<&Record> {
-        self.records.get(&node).map(|held| &held.record)
+        self.records.get(&node).map(|entry| &entry.record)
     }
 
-    /// All records, in no order.
+    /// All records, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Record> {
-        self.records.values().map(|held| &held.record)
+        self.records.values().map(|entry| &entry.record)
     }
 
     /// The live nodes of a zone.
@@ -192,12 +190,12 @@
         self.zones.get(zone).map_or(&[], |list| list)
     }
 
-    /// How many live nodes there are.
-    pub fn live(&self) -> usize {
+    /// The number of live nodes.
+    pub fn live_count(&self) -> usize {
         self.records.len() - self.gone.len()
     }
 
-    /// The zones that have live nodes, in order.
+    /// The zones that have live nodes, sorted.
     pub fn zones(&self) -> Vec<&Zone> {
         let live = self.zones.iter().filter(|(_, list)| !list.is_empty());
         let mut zones: Vec<&Zone> = live.map(|(zone, _)| zone).collect();
@@ -205,20 +203,21 @@
         zones
     }
 
-    /// Nodes held to be gone, the longest gone first.
+    /// Nodes that are dead or have left, in the order in which they went.
     pub fn gone(&self) -> &[NodeId] {
         &self.gone
     }
 
-    /// Live servers of a service that accept work.
+    /// Live servers of a service that accept work; `None` if there are none.
     pub fn servers(&self, service: &Service) -> Option<&Servers> {
         self.services.get(service)
     }
 
-    /// Takes a record. Returns what changed, or `None` if it is not newer.
+    /// Applies a record. Returns `None` if it does not supersede the known
+    /// one.
     pub fn apply(&mut self, now: Millis, record: &Record) -> Option<Changed> {
         let before = self.records.get(&record.node);
-        let before = before.map(|held| held.record.clone());
+        let before = before.map(|entry| entry.record.clone());
         if before.as_ref().is_some_and(|old| !record.supersedes(old)) {
             return None;
         }
@@ -227,17 +226,17 @@
         }
         self.index(record);
         let gone_at = (!record.is_live()).then_some(now);
-        let held = Held { record: record.clone(), gone_at };
-        self.records.insert(record.node, held);
+        let entry = Entry { record: record.clone(), gone_at };
+        self.records.insert(record.node, entry);
         Some(Changed { before })
     }
 
-    /// Forgets nodes that have been gone for long.
+    /// Removes the records of dead or departed nodes that have expired.
     pub fn purge(&mut self, now: Millis) {
         while let Some(node) = self.gone.first().copied() {
-            let held = &self.records[&node];
-            let since = held.gone_at.unwrap_or(now);
-            if now.since(since) < KEPT {
+            let entry = &self.records[&node];
+            let gone_at = entry.gone_at.unwrap_or(now);
+            if now.since(gone_at) < TOMBSTONE_TTL {
                 return;
             }
             self.gone.remove(0);
@@ -251,13 +250,13 @@
             self.gone.push(node);
             return;
         }
-        self.digests[bucket(node)] ^= fingerprint(record);
+        self.digests[bucket(node)] ^= record_digest(record);
         self.zones.entry(record.zone.clone()).or_default().push(node);
-        let local = record.zone == self.zone;
-        let Some(offer) = usable(record) else { return };
+        let is_local = record.zone == self.zone;
+        let Some(offer) = usable_offer(record) else { return };
         let servers = self.services.entry(offer.service.clone()).or_default();
         let list =
-            if local { &mut servers.local } else { &mut servers.remote };
+            if is_local { &mut servers.local } else { &mut servers.remote };
         list.push(node);
     }
 
@@ -267,22 +266,22 @@
             self.gone.retain(|other| *other != node);
             return;
         }
-        self.digests[bucket(node)] ^= fingerprint(record);
+        self.digests[bucket(node)] ^= record_digest(record);
         if let Some(list) = self.zones.get_mut(&record.zone) {
-            forget(list, node);
+            remove_node(list, node);
         }
-        let Some(offer) = usable(record) else { return };
+        let Some(offer) = usable_offer(record) else { return };
         let Some(servers) = self.services.get_mut(&offer.service) else {
             return;
         };
-        forget(&mut servers.local, node);
-        forget(&mut servers.remote, node);
+        remove_node(&mut servers.local, node);
+        remove_node(&mut servers.remote, node);
         if servers.local.is_empty() && servers.remote.is_empty() {
             self.services.remove(&offer.service);
         }
     }
 
-    /// One digest over everything.
+    /// The digest over all buckets.
     pub fn root(&self) -> u64 {
         digest::of(&self.digests)
     }
@@ -292,7 +291,7 @@
         &self.digests
     }
 
-    /// The records of one bucket, the dead included.
+    /// The records of one bucket, including those of dead nodes.
     pub fn bucket(&self, index: usize) -> Vec<Record> {
         let all = self.iter().filter(|r| bucket(r.node) == index);
         let mut records: Vec<Record> = all.cloned().collect();
@@ -301,20 +300,20 @@
     }
 }
 
-/// Suspicion passes quickly, so digests leave it out: two directories that
-/// differ only in suspicions need no repair.
-fn fingerprint(record: &Record) -> u64 {
+/// The digest of a record without its status: suspicions are short-lived, and
+/// directories that differ only in suspicions need no repair.
+fn record_digest(record: &Record) -> u64 {
     digest::of(&(record.node, record.incarnation, record.version))
 }
 
-/// A suspect's server takes no new work until the suspicion is settled.
-fn usable(record: &Record) -> Option<&Offer> {
+/// The server of a record if it may receive calls, which excludes suspects.
+fn usable_offer(record: &Record) -> Option<&Offer> {
     let offer = record.offer.as_ref()?;
     (record.status == Status::Alive && offer.accepts).then_some(offer)
 }
 
-fn forget(list: &mut Vec<NodeId>, node: NodeId) {
-    if let Some(at) = list.iter().position(|other| *other == node) {
-        list.swap_remove(at);
+fn remove_node(list: &mut Vec<NodeId>, node: NodeId) {
+    if let Some(index) = list.iter().position(|other| *other == node) {
+        list.swap_remove(index);
     }
 }
--- a/crates/walnutmoor-core/src/edition.rs
+++ b/crates/walnutmoor-core/src/edition.rs
@@ -1,16 +1,14 @@
 /*!
-Which of two desired states is the newer one.
+The total order of desired states.
 
-The store numbers its writes, but it may come back from an older copy of
-itself: then it has lost the last of them and gives their numbers out again. The
-operator's own number of a desired state grows with each change whatever the
-store loses, so it comes first in the order; what the store says decides only
-between two writes of the same version.
+The store numbers its writes, but after a restore from a backup it has lost
+the latest of them and assigns their revisions again. The operator's version
+grows with each change regardless of what the store loses, so it is compared
+first; the store's numbers decide only between writes of the same version.
 
-The load pattern: a restore in the middle of changes, with nodes that have seen
-what the store has lost, nodes that begin and see the copy only, and answers
-from before the restore that come late. The order is total, so nodes that tell
-one another never disagree for good, and a node that follows it never goes back.
+Since the order is total, nodes that exchange desired states converge, and a
+node that adopts only newer ones never goes back, even if answers from before
+a restore arrive late.
 
 # Example
 
@@ -22,9 +20,9 @@
     stamp: Stamp { era: Era(era), revision: Revision(revision) },
 };
 let lost = edition(17, 1, 20);
-let copy = edition(10, 2, 16);
+let restored = edition(10, 2, 16);
 let next = edition(19, 2, 18);
-assert!(copy < lost && lost < next);
+assert!(restored < lost && lost < next);
 ```
 */
 
@@ -34,7 +32,7 @@
 
 use crate::id::{Era, Revision, Version};
 
-/// The store's own number of a write.
+/// Identifies a write of the store.
 #[derive(
     Clone,
     Copy,
@@ -48,14 +46,14 @@
     Serialize,
 )]
 pub struct Stamp {
-    /// The era in which it was read. Revisions of different eras don't
-    /// compare.
+    /// The era in which it was read. Revisions of different eras are not
+    /// comparable.
     pub era: Era,
-    /// Its revision in that era.
+    /// The store's revision in that era.
     pub revision: Revision,
 }
 
-/// What a desired state is ordered by; fields in the order of their weight.
+/// The sort key of a desired state; the order of the fields is significant.
 #[derive(
     Clone,
     Copy,
@@ -69,14 +67,14 @@
     Serialize,
 )]
 pub struct Edition {
-    /// The operator's number.
+    /// The version assigned by the operator.
     pub version: Version,
-    /// The store's number.
+    /// The store's write.
     pub stamp: Stamp,
 }
 
 impl Edition {
-    /// True before the first desired state.
+    /// True if there is no desired state yet.
     pub fn is_none(&self) -> bool {
         *self == Edition::default()
     }
--- a/crates/walnutmoor-core/src/gossip.rs
+++ b/crates/walnutmoor-core/src/gossip.rs
@@ -1,14 +1,14 @@
 /*!
-Packets between nodes: membership, repair of the directory, news of the
-configuration, and the marks of witnesses.
+The gossip protocol: membership, anti-entropy of the directory,
+configuration updates and the exchange with witnesses.
 
-Every [`Packet`] names its sender's life, the revision that it has in force
-and the digest of its directory, and carries news of members. A node whose
-digest differs asks for the buckets that differ, at a bounded pace. A packet
-that fits in a datagram goes by UDP; the driver sends longer ones another
-way.
+Every [`Packet`] carries its sender's incarnation, configuration revision and
+directory digest, and piggybacks membership updates. A node whose digest
+differs requests the buckets that differ, at a limited rate. Packets that fit
+in a datagram are sent over UDP; the driver chooses another transport for
+longer ones.
 
-[`Gossip`] composes [`Members`] with that repair.
+[`Gossip`] combines [`Members`] with anti-entropy.
 
 # Example
 
@@ -16,9 +16,9 @@
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng};
 use walnutmoor_core::{directory::*, gossip::*, prelude::*};
 
-let record = |port, life| Record {
+let record = |port, incarnation| Record {
     node: NodeId(([127, 0, 0, 1], port).into()),
-    incarnation: Incarnation(life),
+    incarnation: Incarnation(incarnation),
     version: 1,
     status: Status::Alive,
     zone: "portland".parse().unwrap(),
@@ -30,7 +30,7 @@
 let mut out = Vec::new();
 a.join(b.members().me().node, &mut out);
 let (_, body) = out.pop().unwrap();
-let packet = a.seal(Revision(0), body);
+let packet = a.build_packet(Revision(0), body);
 b.receive(Millis(1), packet, &mut rng, &mut out);
 assert_eq!(b.members().directory().len(), 2);
 ```
@@ -44,56 +44,67 @@
     config::{Config, Entry},
     directory::{BUCKETS, Record, bucket},
     id::{Incarnation, NodeId, Revision, Service},
-    member::{self, Members, NEWS_MAX},
+    member::{self, Members, PACKET_UPDATES_MAX},
     once::Outcome,
     ticket::{Party, Ticket},
     time::Millis,
     witness::Verdict,
 };
 
-/// What a packet says.
+/// The payload of a packet.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum Body {
-    /// Probes and their answers.
+    /// A failure detector message.
     Member(member::Message),
-    /// The digests of all buckets of the sender's directory.
+    /// The digests of all buckets of the sender's directory; requests the
+    /// buckets that differ.
     Digests(Vec<u64>),
-    /// Records of some buckets.
+    /// Directory records.
     Records {
         /// The records.
         records: Vec<Record>,
-        /// The buckets that are given whole: the receiver answers with what
-        /// it knows better.
-        whole: Vec<u16>,
+        /// The buckets that are contained completely. The receiver answers
+        /// with its newer records of these buckets.
+        #[serde(rename = "whole")]
+        complete: Vec<u16>,
     },
-    /// Who offers this service?
+    /// Requests records of nodes that offer a service.
     Lookup(Service),
-    /// Give me what comes after this revision.
+    /// Requests the configuration changes after a revision.
     Pull(Revision),
-    /// Changes of configuration, in order.
+    /// Consecutive configuration changes.
     Entries(Vec<Entry>),
-    /// The whole configuration.
-    Whole(Box<Config>),
-    /// What does your clock say? An owner is about to issue tickets.
-    Stamp,
-    /// A witness's clock.
-    Stamped(Party, Millis),
-    /// An owner asks for its mark.
-    Mark(Ticket),
-    /// The witness's answer to an owner.
-    Marked(Ticket, Verdict),
-    /// Somebody asks the witness about a silent owner.
-    Ask(Ticket),
-    /// The witness's answer.
-    Told(Ticket, Verdict),
-    /// Somebody asks the owner what became of a ticket.
-    Inspect(Ticket),
+    /// The complete configuration.
+    #[serde(rename = "Whole")]
+    Snapshot(Box<Config>),
+    /// Requests the clock of a witness, for an owner that issues tickets.
+    #[serde(rename = "Stamp")]
+    ClockRequest,
+    /// The witness and the time on its clock.
+    #[serde(rename = "Stamped")]
+    ClockReply(Party, Millis),
+    /// Requests the witness's mark, sent by the owner of a ticket.
+    #[serde(rename = "Mark")]
+    MarkRequest(Ticket),
+    /// The witness's answer to the owner.
+    #[serde(rename = "Marked")]
+    MarkReply(Ticket, Verdict),
+    /// Requests the witness's verdict on a ticket whose owner does not answer.
+    #[serde(rename = "Ask")]
+    VerdictRequest(Ticket),
+    /// The witness's verdict on such a ticket.
+    #[serde(rename = "Told")]
+    VerdictReply(Ticket, Verdict),
+    /// Requests the outcome of a ticket from its owner.
+    #[serde(rename = "Inspect")]
+    OutcomeRequest(Ticket),
     /// The owner's answer; `None` if it does not know the ticket.
-    Outcome(Ticket, #[serde(with = "outcome")] Option<Outcome>),
+    #[serde(rename = "Outcome")]
+    OutcomeReply(Ticket, #[serde(with = "outcome")] Option<Outcome>),
 }
 
 mod outcome {
-    //! [`Outcome`] as it travels.
+    //! The wire format of [`Outcome`]: a pair of `ran` and `open`.
 
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
@@ -114,57 +125,57 @@
     }
 }
 
-/// What one node sends another.
+/// A message from one node to another.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Packet {
     /// The sender.
     pub from: NodeId,
-    /// Its life.
+    /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// The configuration that it has in force.
+    /// The configuration revision that the sender has in force.
     pub revision: Revision,
-    /// The digest of its directory.
+    /// The digest of the sender's directory.
     pub root: u64,
-    /// News of members.
-    pub news: Vec<Record>,
-    /// What it says.
+    /// Piggybacked membership updates.
+    #[serde(rename = "news")]
+    pub updates: Vec<Record>,
+    /// The payload.
     pub body: Body,
 }
 
 impl Packet {
-    /// The bytes that travel.
+    /// Encodes the packet for the wire.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Reads the bytes that travelled; `None` if they are broken.
+    /// Decodes a packet; `None` if the bytes are malformed.
     pub fn decode(bytes: &[u8]) -> Option<Packet> {
         decode(bytes)
     }
 }
 
-/// How often a node whose directory is complete asks for repair. News is
-/// nearly always under way somewhere in a large fleet, so digests differ
-/// often; at 14,000 nodes this pace keeps repair near 1 KB/s.
-const REPAIR: Millis = Millis(5_000);
+/// Minimum time between two repair requests of a node whose directory is
+/// complete. In a large fleet updates are nearly always in flight, so digests
+/// often differ without need for repair.
+const REPAIR_INTERVAL: Millis = Millis(5_000);
 
-/// How often a node that has just joined asks.
-const CATCH_UP: Millis = Millis(500);
+/// Minimum time between two repair requests of a node that has just joined.
+const JOIN_REPAIR_INTERVAL: Millis = Millis(500);
 
-/// The most records given in one answer, some 12 KB. A joining node that
-/// asks twice a second gets 24 KB/s, within the 29 KB/s that it may use.
+/// The most records in one answer; bounds the bandwidth of a joining node.
 const RECORDS_MAX: usize = 240;
 
-/// The most records given for a look-up.
-const LOOKUP_MAX: usize = 16;
+/// The most records in the answer to a look-up.
+const LOOKUP_RECORDS_MAX: usize = 16;
 
-/// Membership and its repair.
+/// Membership with anti-entropy.
 #[derive(Debug)]
 pub struct Gossip {
     members: Members,
-    asked: Option<Millis>,
-    pause: Millis,
-    complete: bool,
+    last_repair_request: Option<Millis>,
+    repair_interval: Millis,
+    is_complete: bool,
 }
 
 impl Gossip {
@@ -172,46 +183,47 @@
     pub fn new(me: Record, now: Millis) -> Gossip {
         Gossip {
             members: Members::new(me, now),
-            asked: None,
-            pause: CATCH_UP,
-            complete: false,
+            last_repair_request: None,
+            repair_interval: JOIN_REPAIR_INTERVAL,
+            is_complete: false,
         }
     }
 
-    /// The members.
+    /// The members, as known to this node.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// The members.
+    /// The members, as known to this node.
     pub fn members_mut(&mut self) -> &mut Members {
         &mut self.members
     }
 
     /// True once this directory has agreed with a peer's.
     pub fn is_complete(&self) -> bool {
-        self.complete
+        self.is_complete
     }
 
-    /// Nobody else is there: this node's directory is all there is.
-    pub fn alone(&mut self) {
-        self.complete = true;
+    /// Marks the directory as complete, if there is no other node to compare
+    /// it with.
+    pub fn mark_complete(&mut self) {
+        self.is_complete = true;
     }
 
-    /// Makes a packet of what is to be said.
-    pub fn seal(&mut self, revision: Revision, body: Body) -> Packet {
+    /// Builds a packet around a payload, with pending membership updates.
+    pub fn build_packet(&mut self, revision: Revision, body: Body) -> Packet {
         let me = self.members.me();
         let (from, incarnation) = (me.node, me.incarnation);
-        let mut news = self.members.take_news(NEWS_MAX);
+        let mut updates = self.members.take_updates(PACKET_UPDATES_MAX);
         if let Body::Digests(_) = body {
-            // Whoever gives its digests may not be known yet.
-            news.push(self.members.me().clone());
+            // The receiver may not know this node yet.
+            updates.push(self.members.me().clone());
         }
         let root = self.members.directory().root();
-        Packet { from, incarnation, revision, root, news, body }
+        Packet { from, incarnation, revision, root, updates, body }
     }
 
-    /// Introduces this node to a peer.
+    /// Introduces this node to a peer and requests the peer's records.
     pub fn join(&mut self, peer: NodeId, out: &mut Vec<(NodeId, Body)>) {
         if peer != self.members.me().node {
             out.push((peer, self.digests()));
@@ -222,8 +234,8 @@
         Body::Digests(self.members.directory().digests().to_vec())
     }
 
-    /// Takes a packet's news and, if its body is about members, the body.
-    /// Returns the body otherwise.
+    /// Handles a received packet. Returns the payload if it does not concern
+    /// membership.
     pub fn receive(
         &mut self,
         now: Millis,
@@ -232,32 +244,33 @@
         out: &mut Vec<(NodeId, Body)>,
     ) -> Option<Body> {
         let from = packet.from;
-        self.members.heard(from, packet.incarnation);
-        for record in &packet.news {
-            self.members.learn(now, record);
+        self.members.record_contact(from, packet.incarnation);
+        for record in &packet.updates {
+            self.members.merge(now, record);
         }
-        let repair =
+        let is_repair =
             matches!(packet.body, Body::Digests(_) | Body::Records { .. });
-        if !repair {
-            self.compare(now, from, packet.root, rng, out);
+        if !is_repair {
+            self.check_root(now, from, packet.root, rng, out);
         }
         match packet.body {
             Body::Member(message) => {
                 let mut sent = Vec::new();
                 self.members.receive(now, from, message, &mut sent);
-                out.extend(sent.into_iter().map(wrap));
+                out.extend(sent.into_iter().map(into_body));
             }
-            Body::Digests(digests) => self.answer(from, &digests, out),
-            Body::Records { records, whole } => {
-                self.take(now, from, &records, &whole, out)
+            Body::Digests(digests) => self.answer_digests(from, &digests, out),
+            Body::Records { records, complete } => {
+                self.merge_records(now, from, &records, &complete, out)
             }
-            Body::Lookup(service) => self.look_up(from, &service, out),
+            Body::Lookup(service) => self.answer_lookup(from, &service, out),
             other => return Some(other),
         }
         None
     }
 
-    fn compare(
+    /// Requests repair if a peer's directory digest differs from this node's.
+    fn check_root(
         &mut self,
         now: Millis,
         from: NodeId,
@@ -266,20 +279,24 @@
         out: &mut Vec<(NodeId, Body)>,
     ) {
         if root == self.members.directory().root() {
-            self.complete = true;
-            self.pause = REPAIR;
+            self.is_complete = true;
+            self.repair_interval = REPAIR_INTERVAL;
             return;
         }
-        if self.asked.is_some_and(|at| now.since(at) < self.pause) {
+        if self
+            .last_repair_request
+            .is_some_and(|at| now.since(at) < self.repair_interval)
+        {
             return;
         }
-        // A little disorder keeps nodes from asking in step.
-        let jitter = Millis(rng.random_range(0..=self.pause.0 / 4));
-        self.asked = Some(now + jitter);
+        // Keeps the requests of different nodes from synchronizing.
+        let jitter = Millis(rng.random_range(0..=self.repair_interval.0 / 4));
+        self.last_repair_request = Some(now + jitter);
         out.push((from, self.digests()));
     }
 
-    fn answer(
+    /// Answers with the records of buckets whose digests differ.
+    fn answer_digests(
         &mut self,
         from: NodeId,
         digests: &[u64],
@@ -289,66 +306,70 @@
         let pairs = own.iter().zip(digests);
         let differ = pairs.enumerate().filter(|(_, (a, b))| a != b);
         let differ: Vec<usize> = differ.map(|(i, _)| i).collect();
-        let (whole, records) = self.gather(&differ);
-        if !whole.is_empty() {
-            out.push((from, Body::Records { records, whole }));
+        let (complete, records) = self.collect_buckets(&differ);
+        if !complete.is_empty() {
+            out.push((from, Body::Records { records, complete }));
         }
     }
 
-    /// The records of as many of the buckets as fit in one answer.
-    fn gather(&self, buckets: &[usize]) -> (Vec<u16>, Vec<Record>) {
+    /// The records of as many of these buckets as fit in one answer, and the
+    /// indexes of those buckets.
+    fn collect_buckets(&self, buckets: &[usize]) -> (Vec<u16>, Vec<Record>) {
         let directory = self.members.directory();
-        let wanted = |r: &&Record| buckets.contains(&bucket(r.node));
+        let is_wanted = |r: &&Record| buckets.contains(&bucket(r.node));
         let mut counts = [0usize; BUCKETS];
-        for record in directory.iter().filter(wanted) {
+        for record in directory.iter().filter(is_wanted) {
             counts[bucket(record.node)] += 1;
         }
-        let mut room = RECORDS_MAX;
-        let mut whole = Vec::new();
+        let mut capacity = RECORDS_MAX;
+        let mut complete = Vec::new();
         for index in buckets {
             let count = counts[*index];
-            if count > room && !whole.is_empty() {
+            if count > capacity && !complete.is_empty() {
                 break;
             }
-            room = room.saturating_sub(count);
-            whole.push(*index as u16);
+            capacity = capacity.saturating_sub(count);
+            complete.push(*index as u16);
         }
-        let given = |r: &&Record| whole.contains(&(bucket(r.node) as u16));
-        let records = directory.iter().filter(given).cloned();
+        let is_included =
+            |r: &&Record| complete.contains(&(bucket(r.node) as u16));
+        let records = directory.iter().filter(is_included).cloned();
         let mut records: Vec<Record> = records.collect();
         records.sort_by_key(|r| r.node);
-        (whole, records)
+        (complete, records)
     }
 
-    fn take(
+    /// Merges received records, and answers with those of the complete buckets
+    /// for which this node has newer ones.
+    fn merge_records(
         &mut self,
         now: Millis,
         from: NodeId,
         records: &[Record],
-        whole: &[u16],
+        complete: &[u16],
         out: &mut Vec<(NodeId, Body)>,
     ) {
         for record in records {
-            self.members.learn(now, record);
+            self.members.merge(now, record);
         }
-        if whole.is_empty() {
+        if complete.is_empty() {
             return;
         }
-        let better = |r: &&Record| {
-            let given = records.iter().find(|g| g.node == r.node);
-            let in_whole = whole.contains(&(bucket(r.node) as u16));
-            in_whole && given.is_none_or(|g| r.supersedes(g))
+        let is_newer = |r: &&Record| {
+            let received = records.iter().find(|g| g.node == r.node);
+            let is_covered = complete.contains(&(bucket(r.node) as u16));
+            is_covered && received.is_none_or(|g| r.supersedes(g))
         };
         let all = self.members.directory().iter();
-        let mut back: Vec<Record> = all.filter(better).cloned().collect();
-        back.sort_by_key(|r| r.node);
-        if !back.is_empty() {
-            let body = Body::Records { records: back, whole: Vec::new() };
+        let mut newer: Vec<Record> = all.filter(is_newer).cloned().collect();
+        newer.sort_by_key(|r| r.node);
+        if !newer.is_empty() {
+            let body = Body::Records { records: newer, complete: Vec::new() };
             out.push((from, body));
         }
     }
 
-    fn look_up(
+    fn answer_lookup(
         &mut self,
         from: NodeId,
         service: &Service,
@@ -358,11 +379,11 @@
         let Some(servers) = directory.servers(service) else { return };
         let nodes = servers.local.iter().chain(&servers.remote);
         let records = nodes.filter_map(|n| directory.get(*n));
-        let records = records.take(LOOKUP_MAX).cloned().collect();
-        out.push((from, Body::Records { records, whole: Vec::new() }));
+        let records = records.take(LOOKUP_RECORDS_MAX).cloned().collect();
+        out.push((from, Body::Records { records, complete: Vec::new() }));
     }
 
-    /// Probes, follows up and settles.
+    /// Runs the failure detector; see [`Members::tick`].
     pub fn tick(
         &mut self,
         now: Millis,
@@ -371,10 +392,10 @@
     ) {
         let mut sent = Vec::new();
         self.members.tick(now, rng, &mut sent);
-        out.extend(sent.into_iter().map(wrap));
+        out.extend(sent.into_iter().map(into_body));
     }
 }
 
-fn wrap((to, message): (NodeId, member::Message)) -> (NodeId, Body) {
+fn into_body((to, message): (NodeId, member::Message)) -> (NodeId, Body) {
     (to, Body::Member(message))
 }
--- a/crates/walnutmoor-core/src/member.rs
+++ b/crates/walnutmoor-core/src/member.rs
@@ -1,17 +1,17 @@
 /*!
-Who is alive: probing, suspicion and the spreading of news (SWIM).
+Group membership and failure detection with SWIM.
 
-Once a second a node probes one other, mostly of its own zone. Without an
-answer it asks three others to probe in its stead, then suspects the node and
-says so; a suspect that does not refute within the suspicion span is held
-dead. News rides on probes and their answers, each item a few times the
-logarithm of the number of nodes.
+Once every [`PROBE_INTERVAL`] a node probes one other, mostly in its own zone.
+Without an answer it asks other nodes to probe indirectly, then suspects the
+node and disseminates the suspicion. A suspect that does not refute it within
+the suspicion timeout is declared dead. Updates are piggybacked on packets,
+each a number of times that is logarithmic in the number of nodes.
 
-Three things keep a wrong verdict harmless. A node that hears that it is
-suspected or dead says a newer word. A node that was itself paused drops its
-open probes and lengthens its suspicions, for the silence was its own
-(Lifeguard). And the dead are probed now and then for two hours, so that
-regions that lost each other find together again.
+Three mechanisms limit the harm of false positives. A node that learns that it
+is suspected or declared dead refutes this with a newer version of its record.
+A node that was paused itself discards its outstanding probes and extends its
+suspicions, as in Lifeguard. Dead nodes are probed occasionally until their
+records expire, so that partitioned regions merge again.
 
 # Example
 
@@ -20,16 +20,16 @@
 use walnutmoor_core::{directory::*, member::*, prelude::*};
 
 let mut rng = ChaCha8Rng::seed_from_u64(1);
-let record = |port, life| Record {
+let record = |port, incarnation| Record {
     node: NodeId(([127, 0, 0, 1], port).into()),
-    incarnation: Incarnation(life),
+    incarnation: Incarnation(incarnation),
     version: 1,
     status: Status::Alive,
     zone: "portland".parse().unwrap(),
     offer: None,
 };
 let mut members = Members::new(record(7402, 1), Millis(0));
-members.learn(Millis(0), &record(7502, 2));
+members.merge(Millis(0), &record(7502, 2));
 let mut out = Vec::new();
 members.tick(Millis(1_000), &mut rng, &mut out);
 assert!(matches!(out[0].1, Message::Probe { .. }));
@@ -48,123 +48,124 @@
     time::Millis,
 };
 
-/// What members say to each other.
+/// Failure detector messages.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum Message {
-    /// Are you there?
+    /// Asks the receiver for an [`Message::Ack`].
     Probe {
-        /// Comes back with the answer.
+        /// Sequence number, echoed in the acknowledgement.
         seq: u32,
     },
-    /// Here I am.
+    /// Answers a probe or an indirect probe.
     Ack {
-        /// From the probe.
+        /// Sequence number of the probe.
         seq: u32,
     },
-    /// Probe another for me.
-    Relay {
-        /// Comes back with the answer.
+    /// Asks the receiver to probe another node and to pass on its answer.
+    #[serde(rename = "Relay")]
+    ProbeRequest {
+        /// Sequence number, echoed in the acknowledgement.
         seq: u32,
-        /// Whom.
+        /// The node to probe.
         target: NodeId,
     },
 }
 
-/// How often a node probes another.
-pub const PERIOD: Millis = Millis(1_000);
+/// Time between two probes of a node.
+pub const PROBE_INTERVAL: Millis = Millis(1_000);
 
-/// How long to wait for a direct answer: many times the round trip between
-/// zones, and well above a scheduler's hiccup.
-const DIRECT: Millis = Millis(300);
+/// Time to wait for a direct answer before indirect probes are sent. Well
+/// above the round trip between zones and usual scheduling delays.
+const DIRECT_TIMEOUT: Millis = Millis(300);
 
-/// How long to wait for any answer.
-const INDIRECT: Millis = Millis(900);
+/// Time to wait for any answer before the target is suspected.
+const INDIRECT_TIMEOUT: Millis = Millis(900);
 
-/// How many others are asked to probe in a node's stead.
-const HELPERS: usize = 3;
+/// The number of nodes asked for an indirect probe.
+const INDIRECT_PROBES: usize = 3;
 
-/// How long a suspect may take to refute. With the probe's second and the
-/// wait for the next probe of somebody, a silent node is dropped in about
-/// 4 s.
-const SUSPICION: Millis = Millis(2_000);
+/// Time that a suspect has to refute before it is declared dead.
+const SUSPICION_TIMEOUT: Millis = Millis(2_000);
 
-/// One probe in so many goes to another zone.
-const ABROAD: u32 = 4;
+/// One of this many probes goes to another zone.
+const REMOTE_PROBE_RATIO: u32 = 4;
 
-/// How often one of the dead is probed.
-const REVIVAL: Millis = Millis(5_000);
+/// Time between two probes of dead nodes.
+const DEAD_PROBE_INTERVAL: Millis = Millis(5_000);
 
-/// A tick that comes so late means that this node was paused.
-const PAUSED: Millis = Millis(500);
+/// Delay of a tick from which this node is taken to have been paused.
+const PAUSE_THRESHOLD: Millis = Millis(500);
 
-/// An item of news rides on this many packets for each doubling of the
-/// number of nodes. SWIM asks for a small multiple of the logarithm.
-const SPREAD: u32 = 2;
+/// Packets that carry an update, for each doubling of the number of nodes.
+const RETRANSMIT_FACTOR: u32 = 2;
 
-/// The most items of news on one packet; with some 50 bytes each it stays
-/// in one datagram.
-pub const NEWS_MAX: usize = 16;
+/// The most updates in one packet, so that it fits in a datagram.
+pub const PACKET_UPDATES_MAX: usize = 16;
 
 #[derive(Debug)]
 struct Probe {
     target: NodeId,
     sent: Millis,
-    relayed: bool,
-    on_behalf: Option<(NodeId, u32)>,
-    revival: bool,
+    is_indirect: bool,
+    /// Who asked for this probe, and with which sequence number.
+    requester: Option<(NodeId, u32)>,
+    is_dead_probe: bool,
 }
 
 #[derive(Debug)]
-struct News {
+struct Update {
     record: Record,
-    left: u32,
+    transmits_left: u32,
 }
 
-/// What happened to another node.
+/// A change of another node's state.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// A node that was not live is.
+    /// A node became live.
     Up(NodeId),
-    /// A node that was live is not.
+    /// A node is live no longer.
     Down(NodeId),
-    /// A node began another life.
-    Reborn(NodeId),
+    /// A node restarted with another incarnation.
+    Restarted(NodeId),
 }
 
-/// The members as one node sees them.
+/// One node's view of the members.
 #[derive(Debug)]
 pub struct Members {
     me: Record,
     directory: Directory,
-    order: Vec<NodeId>,
+    probe_order: Vec<NodeId>,
     probes: BTreeMap<u32, Probe>,
     suspects: Map<NodeId, Millis>,
-    news: Vec<News>,
+    updates: Vec<Update>,
     seq: u32,
-    probed: Millis,
-    revived: Millis,
-    ticked: Millis,
+    last_probe: Millis,
+    last_dead_probe: Millis,
+    last_tick: Millis,
     round: u32,
     events: Vec<Event>,
 }
 
 impl Members {
-    /// A node that knows only itself.
+    /// Members that consist of this node only.
     pub fn new(me: Record, now: Millis) -> Members {
         let mut directory = Directory::new(me.zone.clone());
         directory.apply(now, &me);
-        let news = vec![News { record: me.clone(), left: SPREAD }];
+        let updates = vec![Update {
+            record: me.clone(),
+            transmits_left: RETRANSMIT_FACTOR,
+        }];
         Members {
             me,
             directory,
-            order: Vec::new(),
+            probe_order: Vec::new(),
             probes: BTreeMap::new(),
             suspects: Map::default(),
-            news,
+            updates,
             seq: 0,
-            probed: now,
-            revived: now,
-            ticked: now,
+            last_probe: now,
+            last_dead_probe: now,
+            last_tick: now,
             round: 0,
             events: Vec::new(),
         }
@@ -175,34 +176,41 @@
         &self.me
     }
 
-    /// The records of all nodes.
+    /// The records of all known nodes.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// What happened since the last call.
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// Changes this node's word about itself, and spreads it.
-    pub fn say(&mut self, now: Millis, status: Status, offer: Option<Offer>) {
+    /// Publishes a new version of this node's own record.
+    pub fn announce(
+        &mut self,
+        now: Millis,
+        status: Status,
+        offer: Option<Offer>,
+    ) {
         self.me.version += 1;
         self.me.status = status;
         self.me.offer = offer;
         self.directory.apply(now, &self.me);
-        self.spread(self.me.clone());
+        self.queue_update(self.me.clone());
     }
 
-    fn spread(&mut self, record: Record) {
+    /// Queues a record for dissemination, in place of an older one.
+    fn queue_update(&mut self, record: Record) {
         let doublings = usize::BITS - self.directory.len().leading_zeros();
-        let left = SPREAD * doublings.max(1);
-        self.news.retain(|n| n.record.node != record.node);
-        self.news.push(News { record, left });
+        let transmits_left = RETRANSMIT_FACTOR * doublings.max(1);
+        self.updates.retain(|u| u.record.node != record.node);
+        self.updates.push(Update { record, transmits_left });
     }
 
-    /// Takes another node's record. Returns true if it was news.
-    pub fn learn(&mut self, now: Millis, record: &Record) -> bool {
+    /// Merges a record received from a peer. Returns true if it superseded
+    /// the known one.
+    pub fn merge(&mut self, now: Millis, record: &Record) -> bool {
         if record.node == self.me.node {
             self.refute(now, record);
             return false;
@@ -210,25 +218,25 @@
         let Some(changed) = self.directory.apply(now, record) else {
             return false;
         };
-        self.note(record, changed.before.as_ref());
+        self.record_events(record, changed.before.as_ref());
         match record.status {
             Status::Suspect => {
-                self.suspects.insert(record.node, now + SUSPICION);
+                self.suspects.insert(record.node, now + SUSPICION_TIMEOUT);
             }
             _ => {
                 self.suspects.remove(&record.node);
             }
         }
-        self.spread(record.clone());
+        self.queue_update(record.clone());
         true
     }
 
-    fn note(&mut self, record: &Record, before: Option<&Record>) {
+    fn record_events(&mut self, record: &Record, before: Option<&Record>) {
         let node = record.node;
         let was_live = before.is_some_and(Record::is_live);
-        let other = |old: &Record| old.incarnation != record.incarnation;
-        if before.is_some_and(other) {
-            self.events.push(Event::Reborn(node));
+        let is_restart = |old: &Record| old.incarnation != record.incarnation;
+        if before.is_some_and(is_restart) {
+            self.events.push(Event::Restarted(node));
         }
         match (was_live, record.is_live()) {
             (false, true) => self.events.push(Event::Up(node)),
@@ -237,28 +245,29 @@
         }
     }
 
-    /// Somebody says something of this node that it did not say itself: it
-    /// says a newer word. So does a fresh life that meets its former one.
+    /// Supersedes a record of this node that it did not publish itself: a
+    /// peer's suspicion, or a record of an earlier incarnation.
     fn refute(&mut self, now: Millis, record: &Record) {
         if *record == self.me || !record.supersedes(&self.me) {
             return;
         }
         self.me.version = record.version;
         let (status, offer) = (self.me.status, self.me.offer.clone());
-        self.say(now, status, offer);
+        self.announce(now, status, offer);
     }
 
-    /// A packet came from a node in this life of it, whatever it said. A
-    /// node that is held dead is told so, and will refute.
-    pub fn heard(&mut self, from: NodeId, incarnation: Incarnation) {
+    /// Handles the receipt of any packet from a node. If this incarnation of
+    /// it is not held alive, its record goes into the next packet, so that
+    /// the node can refute it.
+    pub fn record_contact(&mut self, from: NodeId, incarnation: Incarnation) {
         let Some(record) = self.directory.get(from) else { return };
-        let same = record.incarnation == incarnation;
-        if !same || record.status == Status::Alive {
+        let is_same = record.incarnation == incarnation;
+        if !is_same || record.status == Status::Alive {
             return;
         }
         let record = record.clone();
-        self.news.retain(|n| n.record.node != from);
-        self.news.insert(0, News { record, left: 1 });
+        self.updates.retain(|u| u.record.node != from);
+        self.updates.insert(0, Update { record, transmits_left: 1 });
     }
 
     /// Handles a message from another node.
@@ -271,165 +280,180 @@
     ) {
         match message {
             Message::Probe { seq } => out.push((from, Message::Ack { seq })),
-            Message::Relay { seq, target } => {
+            Message::ProbeRequest { seq, target } => {
                 let probe = Probe {
                     target,
                     sent: now,
-                    relayed: true,
-                    on_behalf: Some((from, seq)),
-                    revival: false,
+                    is_indirect: true,
+                    requester: Some((from, seq)),
+                    is_dead_probe: false,
                 };
-                self.send(probe, out);
+                self.send_probe(probe, out);
             }
-            Message::Ack { seq } => self.acked(seq, from, out),
+            Message::Ack { seq } => self.handle_ack(seq, from, out),
         }
     }
 
-    fn acked(
+    fn handle_ack(
         &mut self,
         seq: u32,
         from: NodeId,
         out: &mut Vec<(NodeId, Message)>,
     ) {
         let Some(probe) = self.probes.remove(&seq) else { return };
-        if let Some((asker, seq)) = probe.on_behalf
+        if let Some((requester, seq)) = probe.requester
             && from == probe.target
         {
-            out.push((asker, Message::Ack { seq }));
+            out.push((requester, Message::Ack { seq }));
         }
     }
 
-    fn send(&mut self, probe: Probe, out: &mut Vec<(NodeId, Message)>) {
+    fn send_probe(&mut self, probe: Probe, out: &mut Vec<(NodeId, Message)>) {
         self.seq = self.seq.wrapping_add(1);
         out.push((probe.target, Message::Probe { seq: self.seq }));
         self.probes.insert(self.seq, probe);
     }
 
-    /// When [`Members::tick`] has something to do, at the latest.
+    /// The latest time for the next call of [`Members::tick`].
     pub fn next_wake(&self) -> Millis {
-        let timeouts = self
-            .probes
-            .values()
-            .map(|p| p.sent + if p.relayed { INDIRECT } else { DIRECT });
+        let timeouts = self.probes.values().map(|p| {
+            p.sent
+                + if p.is_indirect { INDIRECT_TIMEOUT } else { DIRECT_TIMEOUT }
+        });
         let suspicions = self.suspects.values().copied();
-        let next = self.probed + PERIOD;
+        let next = self.last_probe + PROBE_INTERVAL;
         timeouts.chain(suspicions).fold(next, Millis::min)
     }
 
-    /// Probes, follows up on probes, and settles suspicions.
+    /// Sends probes that are due and handles expired probes and suspicions.
     pub fn tick(
         &mut self,
         now: Millis,
         rng: &mut impl Rng,
         out: &mut Vec<(NodeId, Message)>,
     ) {
-        let late = now.since(self.ticked);
-        self.ticked = now;
-        if late > PERIOD + PAUSED {
-            self.excuse(late);
+        let elapsed = now.since(self.last_tick);
+        self.last_tick = now;
+        if elapsed > PROBE_INTERVAL + PAUSE_THRESHOLD {
+            self.compensate_pause(elapsed);
         }
-        self.follow_up(now, rng, out);
-        self.settle(now);
-        if now.since(self.probed) >= PERIOD {
-            self.probed = now;
+        self.expire_probes(now, rng, out);
+        self.expire_suspicions(now);
+        if now.since(self.last_probe) >= PROBE_INTERVAL {
+            self.last_probe = now;
             self.probe(now, rng, out);
         }
-        if now.since(self.revived) >= REVIVAL {
-            self.revived = now;
-            self.revive(now, rng, out);
+        if now.since(self.last_dead_probe) >= DEAD_PROBE_INTERVAL {
+            self.last_dead_probe = now;
+            self.probe_dead(now, rng, out);
             self.directory.purge(now);
         }
     }
 
-    /// This node was paused: answers that it missed prove nothing.
-    fn excuse(&mut self, span: Millis) {
+    /// Discards outstanding probes and extends suspicions after this node was
+    /// paused, since it may have missed answers and refutations.
+    fn compensate_pause(&mut self, span: Millis) {
         self.probes.clear();
         for until in self.suspects.values_mut() {
             *until += span;
         }
     }
 
-    fn follow_up(
+    /// Suspects targets that did not answer, and requests indirect probes of
+    /// those that did not answer directly.
+    fn expire_probes(
         &mut self,
         now: Millis,
         rng: &mut impl Rng,
         out: &mut Vec<(NodeId, Message)>,
     ) {
-        let expired = |p: &Probe| now.since(p.sent) >= INDIRECT;
+        let expired = |p: &Probe| now.since(p.sent) >= INDIRECT_TIMEOUT;
         let failed = self.probes.extract_if(.., |_, p| expired(p));
         let failed: Vec<Probe> = failed.map(|(_, probe)| probe).collect();
         for probe in failed {
-            if probe.on_behalf.is_none() && !probe.revival {
+            if probe.requester.is_none() && !probe.is_dead_probe {
                 self.suspect(now, probe.target);
             }
         }
-        let due = |p: &Probe| !p.relayed && now.since(p.sent) >= DIRECT;
-        let waiting = self.probes.iter_mut().filter(|(_, p)| due(p));
-        let mut asks = Vec::new();
-        for (seq, probe) in waiting {
-            probe.relayed = true;
-            if !probe.revival {
-                asks.push((*seq, probe.target));
+        let is_due =
+            |p: &Probe| !p.is_indirect && now.since(p.sent) >= DIRECT_TIMEOUT;
+        let unanswered = self.probes.iter_mut().filter(|(_, p)| is_due(p));
+        let mut requests = Vec::new();
+        for (seq, probe) in unanswered {
+            probe.is_indirect = true;
+            if !probe.is_dead_probe {
+                requests.push((*seq, probe.target));
             }
         }
-        for (seq, target) in asks {
-            for helper in self.helpers(target, rng) {
-                out.push((helper, Message::Relay { seq, target }));
+        for (seq, target) in requests {
+            for proxy in self.random_proxies(target, rng) {
+                out.push((proxy, Message::ProbeRequest { seq, target }));
             }
         }
     }
 
-    fn helpers(&self, target: NodeId, rng: &mut impl Rng) -> Vec<NodeId> {
-        let mut helpers = Vec::new();
-        for _ in 0..HELPERS * 2 {
-            let Some(node) = self.any(rng) else { break };
-            let fit = node != target && !helpers.contains(&node);
-            if fit && helpers.len() < HELPERS {
-                helpers.push(node);
+    /// Picks the nodes that probe a target indirectly.
+    fn random_proxies(
+        &self,
+        target: NodeId,
+        rng: &mut impl Rng,
+    ) -> Vec<NodeId> {
+        let mut proxies = Vec::new();
+        for _ in 0..INDIRECT_PROBES * 2 {
+            let Some(node) = self.random_peer(rng) else { break };
+            let is_usable = node != target && !proxies.contains(&node);
+            if is_usable && proxies.len() < INDIRECT_PROBES {
+                proxies.push(node);
             }
         }
-        helpers
+        proxies
     }
 
-    /// A live node, of this zone or now and then of another.
-    pub fn any(&self, rng: &mut impl Rng) -> Option<NodeId> {
-        let abroad = rng.random_ratio(1, ABROAD);
-        let first = if abroad { self.abroad(rng) } else { self.near(rng) };
-        first.or_else(|| self.near(rng)).or_else(|| self.abroad(rng))
+    /// Picks a live peer, usually in this zone and occasionally in another.
+    pub fn random_peer(&self, rng: &mut impl Rng) -> Option<NodeId> {
+        let is_remote = rng.random_ratio(1, REMOTE_PROBE_RATIO);
+        let first = if is_remote {
+            self.random_remote_peer(rng)
+        } else {
+            self.random_local_peer(rng)
+        };
+        first
+            .or_else(|| self.random_local_peer(rng))
+            .or_else(|| self.random_remote_peer(rng))
     }
 
-    fn near(&self, rng: &mut impl Rng) -> Option<NodeId> {
-        self.of_zone(&self.me.zone, rng)
+    fn random_local_peer(&self, rng: &mut impl Rng) -> Option<NodeId> {
+        self.random_in_zone(&self.me.zone, rng)
     }
 
-    fn of_zone(
+    fn random_in_zone(
         &self,
         zone: &crate::id::Zone,
         rng: &mut impl Rng,
     ) -> Option<NodeId> {
         let list = self.directory.in_zone(zone);
-        // A node that has said good-bye is not in the list any more.
-        let listed = self.me.is_live() && *zone == self.me.zone;
-        let others = list.len() - usize::from(listed);
+        // A node that has left is not in the list.
+        let is_listed = self.me.is_live() && *zone == self.me.zone;
+        let others = list.len() - usize::from(is_listed);
         if list.is_empty() || others == 0 {
             return None;
         }
-        let at = rng.random_range(0..list.len());
-        if list[at] == self.me.node {
-            return Some(list[(at + 1) % list.len()]);
+        let index = rng.random_range(0..list.len());
+        if list[index] == self.me.node {
+            return Some(list[(index + 1) % list.len()]);
         }
-        Some(list[at])
+        Some(list[index])
     }
 
-    /// A live node of another zone.
-    pub fn abroad(&self, rng: &mut impl Rng) -> Option<NodeId> {
+    /// Picks a live peer in another zone.
+    pub fn random_remote_peer(&self, rng: &mut impl Rng) -> Option<NodeId> {
         let zones = self.directory.zones();
         let others = zones.into_iter().filter(|z| **z != self.me.zone);
         let others: Vec<_> = others.collect();
         if others.is_empty() {
             return None;
         }
-        self.of_zone(others[rng.random_range(0..others.len())], rng)
+        self.random_in_zone(others[rng.random_range(0..others.len())], rng)
     }
 
     fn suspect(&mut self, now: Millis, node: NodeId) {
@@ -439,19 +463,21 @@
         }
         let mut record = record.clone();
         record.status = Status::Suspect;
-        self.learn(now, &record);
+        self.merge(now, &record);
     }
 
-    fn settle(&mut self, now: Millis) {
-        let late = self.suspects.iter().filter(|(_, until)| **until <= now);
-        let mut late: Vec<NodeId> = late.map(|(node, _)| *node).collect();
-        late.sort();
-        for node in late {
+    /// Declares suspects dead whose suspicion has timed out.
+    fn expire_suspicions(&mut self, now: Millis) {
+        let expired = self.suspects.iter().filter(|(_, until)| **until <= now);
+        let mut expired: Vec<NodeId> =
+            expired.map(|(node, _)| *node).collect();
+        expired.sort();
+        for node in expired {
             self.suspects.remove(&node);
             let Some(record) = self.directory.get(node) else { continue };
             let mut record = record.clone();
             record.status = Status::Dead;
-            self.learn(now, &record);
+            self.merge(now, &record);
         }
     }
 
@@ -462,30 +488,31 @@
         out: &mut Vec<(NodeId, Message)>,
     ) {
         self.round = self.round.wrapping_add(1);
-        let abroad = self.round.is_multiple_of(ABROAD);
-        let target = if abroad { self.abroad(rng) } else { None };
-        let Some(target) = target.or_else(|| self.next(rng)) else {
+        let is_remote = self.round.is_multiple_of(REMOTE_PROBE_RATIO);
+        let target =
+            if is_remote { self.random_remote_peer(rng) } else { None };
+        let Some(target) = target.or_else(|| self.next_target(rng)) else {
             return;
         };
         let probe = Probe {
             target,
             sent: now,
-            relayed: false,
-            on_behalf: None,
-            revival: false,
+            is_indirect: false,
+            requester: None,
+            is_dead_probe: false,
         };
-        self.send(probe, out);
+        self.send_probe(probe, out);
     }
 
-    /// The next of this zone in a shuffled order, so that each is probed
-    /// once a round; of another zone if there is none.
-    fn next(&mut self, rng: &mut impl Rng) -> Option<NodeId> {
+    /// The next node of this zone in a shuffled order, so that each is probed
+    /// once per round; a node of another zone if there is none.
+    fn next_target(&mut self, rng: &mut impl Rng) -> Option<NodeId> {
         loop {
-            let Some(node) = self.order.pop() else {
+            let Some(node) = self.probe_order.pop() else {
                 self.reshuffle(rng);
-                let none = self.order.is_empty();
-                if none {
-                    return self.abroad(rng);
+                let is_empty = self.probe_order.is_empty();
+                if is_empty {
+                    return self.random_remote_peer(rng);
                 }
                 continue;
             };
@@ -499,11 +526,11 @@
     fn reshuffle(&mut self, rng: &mut impl Rng) {
         let zone = self.directory.in_zone(&self.me.zone);
         let others = zone.iter().filter(|n| **n != self.me.node);
-        self.order = others.copied().collect();
-        self.order.shuffle(rng);
+        self.probe_order = others.copied().collect();
+        self.probe_order.shuffle(rng);
     }
 
-    fn revive(
+    fn probe_dead(
         &mut self,
         now: Millis,
         rng: &mut impl Rng,
@@ -517,28 +544,28 @@
         let probe = Probe {
             target,
             sent: now,
-            relayed: true,
-            on_behalf: None,
-            revival: true,
+            is_indirect: true,
+            requester: None,
+            is_dead_probe: true,
         };
-        self.send(probe, out);
+        self.send_probe(probe, out);
     }
 
-    /// The news to put on the next packet, at most `max` items.
-    pub fn take_news(&mut self, max: usize) -> Vec<Record> {
-        let count = self.news.len().min(max);
-        let taken = self.news[..count].iter_mut().map(|item| {
-            item.left = item.left.saturating_sub(1);
-            item.record.clone()
+    /// Takes the updates to piggyback on the next packet, at most `max`.
+    pub fn take_updates(&mut self, max: usize) -> Vec<Record> {
+        let count = self.updates.len().min(max);
+        let taken = self.updates[..count].iter_mut().map(|update| {
+            update.transmits_left = update.transmits_left.saturating_sub(1);
+            update.record.clone()
         });
         let taken: Vec<Record> = taken.collect();
-        self.news.rotate_left(count);
-        self.news.retain(|item| item.left > 0);
+        self.updates.rotate_left(count);
+        self.updates.retain(|update| update.transmits_left > 0);
         taken
     }
 
-    /// How many items of news wait to be spread.
-    pub fn news_len(&self) -> usize {
-        self.news.len()
+    /// The number of updates that are still to be disseminated.
+    pub fn pending_updates(&self) -> usize {
+        self.updates.len()
     }
 }
--- a/crates/walnutmoor-core/src/node/contacts.rs
+++ b/crates/walnutmoor-core/src/node/contacts.rs
@@ -26,7 +26,7 @@
     /// A node that knows nobody asks its contacts, and if there are none
     /// becomes one.
     pub(super) fn rejoin(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let alone = self.gossip.members().directory().live() <= 1;
+        let alone = self.gossip.members().directory().live_count() <= 1;
         let due = |at: Millis| now.since(at) >= REJOIN;
         if !alone || !self.control.joined.is_some_and(due) {
             return;
@@ -50,9 +50,9 @@
         for contact in &self.control.contacts {
             self.gossip.join(*contact, &mut sent);
         }
-        let live = self.gossip.members().directory().live();
+        let live = self.gossip.members().directory().live_count();
         if sent.is_empty() && live <= 1 {
-            self.gossip.alone();
+            self.gossip.mark_complete();
         }
         self.post_all(sent, out);
     }
--- a/crates/walnutmoor-core/src/node/control.rs
+++ b/crates/walnutmoor-core/src/node/control.rs
@@ -105,7 +105,7 @@
         out: &mut Vec<Action>,
     ) {
         let revision = self.configuration.revision;
-        let packet = Box::new(self.gossip.seal(revision, body));
+        let packet = Box::new(self.gossip.build_packet(revision, body));
         out.push(Action::Send { to, packet });
     }
 
@@ -136,7 +136,7 @@
         let gossip = self.gossip.members().next_wake();
         let gossip = gossip.max(self.control.gossiped + GOSSIP);
         let proposer = self.proposer.next_wake().unwrap_or(Millis::NEVER);
-        let steady = self.control.gossiped + member::PERIOD;
+        let steady = self.control.gossiped + member::PROBE_INTERVAL;
         gossip.min(proposer).min(steady)
     }
 
@@ -157,7 +157,7 @@
         self.take_steps(steps, out);
         self.server_is_gone(out);
         self.rejoin(now, out);
-        let due = now.since(self.control.kept) >= member::PERIOD;
+        let due = now.since(self.control.kept) >= member::PROBE_INTERVAL;
         if due && now >= self.control.resume {
             self.control.kept = now;
             self.keep(now, out);
@@ -176,7 +176,7 @@
             let note = match event {
                 member::Event::Up(node) => Note::Up(node),
                 member::Event::Down(node) => Note::Down(node),
-                member::Event::Reborn(node) => {
+                member::Event::Restarted(node) => {
                     self.router.reborn(node);
                     continue;
                 }
@@ -265,7 +265,7 @@
             Purpose::Propose => {
                 let mut steps = Vec::new();
                 let in_force = &self.configuration;
-                self.proposer.reply(now, reply, in_force, &mut steps);
+                self.proposer.handle_reply(now, reply, in_force, &mut steps);
                 self.take_steps(steps, out);
             }
         }
@@ -378,7 +378,7 @@
         let members = self.gossip.members();
         let mut peers = Vec::new();
         for _ in 0..2 * FANOUT {
-            let peer = members.any(&mut self.rng);
+            let peer = members.random_peer(&mut self.rng);
             peers.extend(peer.filter(|p| !peers.contains(p)));
         }
         peers.truncate(FANOUT);
@@ -394,7 +394,7 @@
     ) {
         let body = match self.configuration.since(known) {
             Some(entries) => Body::Entries(entries.to_vec()),
-            None => Body::Whole(Box::new(self.configuration.clone())),
+            None => Body::Snapshot(Box::new(self.configuration.clone())),
         };
         self.post(to, body, out);
     }
@@ -454,17 +454,17 @@
                 self.give_configuration(from, known, out)
             }
             Body::Entries(entries) => self.follow(from, &entries, out),
-            Body::Whole(config) => self.adopt(*config, out),
-            Body::Stamped(party, stamp) => {
+            Body::Snapshot(config) => self.adopt(*config, out),
+            Body::ClockReply(party, stamp) => {
                 self.stamped(now, party, stamp, out)
             }
-            Body::Marked(ticket, verdict) => {
+            Body::MarkReply(ticket, verdict) => {
                 self.marked(now, ticket, verdict, out)
             }
-            Body::Told(ticket, verdict) => {
+            Body::VerdictReply(ticket, verdict) => {
                 self.told(now, ticket, verdict, out)
             }
-            Body::Outcome(ticket, outcome) => {
+            Body::OutcomeReply(ticket, outcome) => {
                 self.outcome(ticket, outcome, out)
             }
             other => self.answer_about(now, from, other, out),
@@ -479,7 +479,7 @@
     ) {
         let before = self.configuration.revision;
         for entry in entries {
-            self.configuration.follow(entry);
+            self.configuration.apply_entry(entry);
         }
         let after = self.configuration.revision;
         if after > before {
@@ -512,8 +512,10 @@
     fn take_steps(&mut self, steps: Vec<Step<AskId>>, out: &mut Vec<Action>) {
         for step in steps {
             match step {
-                Step::Ask(request) => self.ask(Purpose::Propose, request, out),
-                Step::Tell(ask, result) => {
+                Step::Request(request) => {
+                    self.ask(Purpose::Propose, request, out)
+                }
+                Step::Reply(ask, result) => {
                     out.push(Action::Decided { ask, result })
                 }
                 Step::Adopt(config, version) => {
@@ -538,7 +540,7 @@
         if std::mem::replace(&mut self.control.farewell, true) {
             return;
         }
-        self.gossip.members_mut().say(now, Status::Left, None);
+        self.gossip.members_mut().announce(now, Status::Left, None);
         self.push_news(out);
     }
 }
--- a/crates/walnutmoor-core/src/node/entry.rs
+++ b/crates/walnutmoor-core/src/node/entry.rs
@@ -331,7 +331,7 @@
         if self.gossip.is_complete() {
             return Refusal::new(Kind::UnknownService, Ran::No);
         }
-        if let Some(peer) = self.gossip.members().any(&mut self.rng) {
+        if let Some(peer) = self.gossip.members().random_peer(&mut self.rng) {
             self.post(peer, Body::Lookup(service.clone()), out);
         }
         let wait = self.spread(Millis(500));
--- a/crates/walnutmoor-core/src/node/issue.rs
+++ b/crates/walnutmoor-core/src/node/issue.rs
@@ -49,7 +49,7 @@
             self.issued(ask, Err(refusal), out);
             return;
         }
-        let alone = self.gossip.members().directory().live() <= 1;
+        let alone = self.gossip.members().directory().live_count() <= 1;
         let stamp = match alone {
             true => Some(Stamp { party: self.me, stamp: now, at: now }),
             false => self.usable_stamp(now),
@@ -115,10 +115,10 @@
     fn fetch_stamps(&mut self, out: &mut Vec<Action>) {
         for _ in 0..STAMPS {
             let members = self.gossip.members();
-            let far = members.abroad(&mut self.rng);
-            let node = far.or_else(|| members.any(&mut self.rng));
+            let far = members.random_remote_peer(&mut self.rng);
+            let node = far.or_else(|| members.random_peer(&mut self.rng));
             let Some(node) = node else { return };
-            self.post(node, Body::Stamp, out);
+            self.post(node, Body::ClockRequest, out);
         }
     }
 
--- a/crates/walnutmoor-core/src/node/serve.rs
+++ b/crates/walnutmoor-core/src/node/serve.rs
@@ -442,7 +442,7 @@
             accepts,
         });
         let members = self.gossip.members_mut();
-        members.say(now, Status::Alive, offer);
+        members.announce(now, Status::Alive, offer);
     }
 
     /// The backend server says that it is leaving. What is in flight there
--- a/crates/walnutmoor-core/src/node/stat.rs
+++ b/crates/walnutmoor-core/src/node/stat.rs
@@ -126,7 +126,7 @@
             outbound: self.outbound.len(),
             tickets: self.ledger.len(),
             marks: self.witness.len(),
-            members: directory.live(),
+            members: directory.live_count(),
             complete: self.gossip.is_complete(),
         }
     }
--- a/crates/walnutmoor-core/src/node/tickets.rs
+++ b/crates/walnutmoor-core/src/node/tickets.rs
@@ -233,7 +233,7 @@
         let next = now + AGAIN;
         let marking = Marking { ticket, call, next, sends: 1 };
         self.marks.insert(ticket.nonce, marking);
-        self.post(ticket.witness.node, Body::Mark(ticket), out);
+        self.post(ticket.witness.node, Body::MarkRequest(ticket), out);
     }
 
     /// The witness answered an owner.
@@ -309,7 +309,7 @@
             self.told(now, ticket, verdict, out);
             return;
         }
-        self.post(ticket.witness.node, Body::Ask(ticket), out);
+        self.post(ticket.witness.node, Body::VerdictRequest(ticket), out);
     }
 
     /// A witness answered about a silent owner.
@@ -378,13 +378,13 @@
         out: &mut Vec<Action>,
     ) {
         if !of_witness {
-            let body = Body::Inspect(ticket);
+            let body = Body::OutcomeRequest(ticket);
             self.post(ticket.owner.node, body, out);
         } else if ticket.witness == self.me {
             let verdict = self.witness.ask(now, &ticket);
             self.told(now, ticket, verdict, out);
         } else {
-            self.post(ticket.witness.node, Body::Ask(ticket), out);
+            self.post(ticket.witness.node, Body::VerdictRequest(ticket), out);
         }
     }
 
@@ -416,22 +416,22 @@
         out: &mut Vec<Action>,
     ) {
         let answer = match body {
-            Body::Stamp => Body::Stamped(self.me, now),
-            Body::Mark(ticket) => {
+            Body::ClockRequest => Body::ClockReply(self.me, now),
+            Body::MarkRequest(ticket) => {
                 let verdict = self.witness.mark(now, &ticket);
                 self.stats.marks += u64::from(verdict == Verdict::Mark);
-                Body::Marked(ticket, verdict)
+                Body::MarkReply(ticket, verdict)
             }
-            Body::Ask(ticket) => {
+            Body::VerdictRequest(ticket) => {
                 let verdict = self.witness.ask(now, &ticket);
                 let set = verdict == Verdict::Tombstone;
                 self.stats.tombstones += u64::from(set);
-                Body::Told(ticket, verdict)
+                Body::VerdictReply(ticket, verdict)
             }
-            Body::Inspect(ticket) => {
+            Body::OutcomeRequest(ticket) => {
                 let mine = ticket.owner == self.me;
                 let outcome = self.ledger.outcome(now, ticket.nonce);
-                Body::Outcome(ticket, outcome.filter(|_| mine))
+                Body::OutcomeReply(ticket, outcome.filter(|_| mine))
             }
             _ => return,
         };
@@ -490,7 +490,7 @@
             if m.sends > SENDS_MAX {
                 self.refuse_marking(now, call, Kind::WitnessSilent, out);
             } else {
-                self.post(ticket.witness.node, Body::Mark(ticket), out);
+                self.post(ticket.witness.node, Body::MarkRequest(ticket), out);
             }
         }
     }
@@ -509,7 +509,11 @@
                 let refusal = Refusal::new(Kind::WitnessSilent, ran);
                 self.give_up(now, call, refusal, out);
             } else {
-                self.post(ticket.witness.node, Body::Ask(ticket), out);
+                self.post(
+                    ticket.witness.node,
+                    Body::VerdictRequest(ticket),
+                    out,
+                );
             }
         }
     }
--- a/crates/walnutmoor-core/src/poison.rs
+++ b/crates/walnutmoor-core/src/poison.rs
@@ -1,28 +1,27 @@
 /*!
-Requests whose content ends the instances that run them.
+Detection and containment of poison requests.
 
-The load pattern: a request ends the instance that runs it, by a fault that its
-content triggers. Its caller sends it again, as a new attempt and at any node,
-and each attempt ends more instances, with all that they held. A service of
-three instances is down within a tenth of a second, and stays down for as long
-as the caller goes on.
+A poison request crashes every instance that runs it, through a fault that its
+content triggers. Retries spread it: each attempt may end another instance
+together with everything that the instance was running, until the whole
+service is down.
 
 | part | decides |
 |---|---|
-| [`Fingerprint`] | which attempts are the same request, by its content |
-| [`Register`] | under which requests instances have ended, and what follows |
-| [`place`] | which instance tries a suspect next, or that none does for now |
-| [`Isolation`] | which suspects run at an instance at the same time |
+| [`Fingerprint`] | which attempts carry the same request, by its content |
+| [`Register`] | which requests are suspect or barred, from observed crashes |
+| [`place`] | which instance runs a suspect, or whether it is deferred |
+| [`Isolation`] | which suspects run concurrently at one instance |
 
-What ran when an instance ended is suspect, and nearly all of it is innocent.
-Innocence is proved by one run that ends; guilt is not believed before three
-instances have ended, so that requests that merely ran beside are not refused.
-In between, suspects run apart from each other, and never at the last instance
-of a service that is left.
+Every request that was running when an instance ended is suspect. One
+successful run clears it; it is barred only after several crashes, so that
+requests that merely ran beside the poison request are not refused. Until
+then suspects are isolated from each other and kept off the last usable
+instance of a service.
 
-Evidence is a set of crashes, and a set of those that a good run has refuted.
-Both only grow, so it may come late, twice, in any order and by any way, and
-all nodes that have heard the same believe the same.
+Evidence is a set of crashes and a set of refuted crashes. Both sets only
+grow, so merging is commutative and idempotent: nodes that have received the
+same evidence reach the same conclusion, in whatever order it arrived.
 
 # Example
 
@@ -32,10 +31,10 @@
 let request = Hasher::new([&b"POST"[..], b"/claims/7"]).finish();
 let mut register = Register::new();
 for crash in [Crash(1), Crash(2)] {
-    register.note_crash(Millis(5), crash, &[request]);
+    register.record_crash(Millis(5), crash, &[request]);
 }
 assert_eq!(register.standing(Millis(9), request), Standing::Suspect(2));
-register.note_crash(Millis(9), Crash(3), &[request]);
+register.record_crash(Millis(9), Crash(3), &[request]);
 let standing = register.standing(Millis(9), request);
 assert!(matches!(standing, Standing::Barred(_)));
 ```
@@ -48,8 +47,8 @@
 mod register;
 mod success;
 
-pub use evidence::{Crash, Evidence, SPREAD_FROM};
+pub use evidence::{Crash, Evidence, MIN_CRASHES_TO_SHARE};
 pub use fingerprint::{Fingerprint, Hasher};
-pub use isolation::{Isolation, Turn};
-pub use placement::{HOLD, Place, place};
+pub use isolation::{Admission, Isolation};
+pub use placement::{Placement, SUSPECT_RETRY_AFTER, place};
 pub use register::{Change, Register, Standing};
--- a/crates/walnutmoor-core/src/poison/evidence.rs
+++ b/crates/walnutmoor-core/src/poison/evidence.rs
@@ -1,5 +1,5 @@
 /*!
-Evidence against a request, as nodes tell it to each other and to the store.
+Crash evidence about a request, as exchanged by nodes and kept in the store.
 */
 
 use serde::{Deserialize, Serialize};
@@ -7,16 +7,16 @@
 use super::Fingerprint;
 use crate::{digest, lifetime::Lifetime, time::Millis};
 
-/// Crashes that are kept of each kind. Three decide; the rest says how long a
-/// request is barred for.
+/// Entries kept in each set. Crashes beyond those that bar a request extend
+/// the time for which it is barred.
 const CRASHES_MAX: usize = 8;
 
-/// Crashes from which a suspicion is written to the store, and told to nodes
-/// that link later. What ran when one instance ended is up to all that it had
-/// slots for; under two, it is few.
-pub const SPREAD_FROM: u32 = 2;
+/// Crashes from which evidence is written to the store and sent to nodes that
+/// connect later. After a single crash, every request that the instance ran is
+/// suspect, which is too many to share.
+pub const MIN_CRASHES_TO_SHARE: u32 = 2;
 
-/// The end of one lifetime of an instance.
+/// Identifies a crash: the end of one lifetime of an instance.
 #[derive(
     Clone,
     Copy,
@@ -37,33 +37,34 @@
     }
 }
 
-/// What speaks against a request, and for it.
+/// The crashes attributed to a request, and those that were refuted.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Evidence {
-    /// The request.
+    /// The request's fingerprint.
     pub fingerprint: Fingerprint,
-    /// Ends of instances that ran it.
+    /// Crashes of instances that were running it.
     pub crashes: Vec<Crash>,
-    /// Those among them that it is not to blame for: it ran to its end
-    /// afterwards.
+    /// Crashes that a later successful run of the request has refuted.
     pub refuted: Vec<Crash>,
-    /// How long ago the last of them was, as far as the teller knows.
+    /// Time since the latest crash, as known to the sender.
     pub age: Millis,
 }
 
 impl Evidence {
-    /// Ends of instances that nothing refutes.
-    pub fn weight(&self) -> u32 {
-        let stands = |crash: &&Crash| !self.refuted.contains(crash);
-        self.crashes.iter().filter(stands).count() as u32
+    /// The number of crashes that are not refuted.
+    pub fn unrefuted_crashes(&self) -> u32 {
+        let unrefuted = |crash: &&Crash| !self.refuted.contains(crash);
+        self.crashes.iter().filter(unrefuted).count() as u32
     }
 
-    /// True if it is told to all, refuted or not.
-    pub fn spreads(&self) -> bool {
-        self.crashes.len() >= SPREAD_FROM as usize
+    /// True if there are enough crashes, refuted or not, to share the evidence
+    /// with all nodes.
+    pub fn is_shared(&self) -> bool {
+        self.crashes.len() >= MIN_CRASHES_TO_SHARE as usize
     }
 
-    /// Adds what the other knows. True if that was new.
+    /// Merges other evidence about the same request. Returns true if it
+    /// contained anything new.
     pub fn merge(&mut self, other: &Evidence) -> bool {
         let crashes = union(&mut self.crashes, &other.crashes);
         let refuted = union(&mut self.refuted, &other.refuted);
@@ -71,7 +72,7 @@
     }
 }
 
-/// Adds what is missing, up to the bound. True if anything was added.
+/// Adds missing crashes, up to [`CRASHES_MAX`]. Returns true if any was added.
 fn union(own: &mut Vec<Crash>, other: &[Crash]) -> bool {
     let before = own.len();
     for crash in other {
--- a/crates/walnutmoor-core/src/poison/fingerprint.rs
+++ b/crates/walnutmoor-core/src/poison/fingerprint.rs
@@ -1,5 +1,5 @@
 /*!
-A request's content in sixteen bytes.
+Fingerprints that identify requests by their content.
 */
 
 use std::{fmt, str::FromStr};
@@ -8,11 +8,11 @@
 
 use crate::id::ParseError;
 
-/// Bytes of a fingerprint. With 128 bits nobody finds a second request with
-/// the fingerprint of somebody else's, which would then be refused with it.
-const LEN: usize = 16;
+/// Length of a fingerprint. 128 bits make it infeasible to craft a request
+/// that collides with another client's and gets it refused.
+const FINGERPRINT_BYTES: usize = 16;
 
-/// Names a request by its content. All its attempts have the same.
+/// A hash of a request's content, the same for all of its attempts.
 #[derive(
     Clone,
     Copy,
@@ -26,7 +26,7 @@
     Deserialize,
     Serialize,
 )]
-pub struct Fingerprint([u8; LEN]);
+pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
 impl fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -39,22 +39,23 @@
 
     fn from_str(text: &str) -> Result<Fingerprint, ParseError> {
         let error = || ParseError::new("fingerprint", text);
-        let whole = text.len() == 2 * LEN && text.is_ascii();
+        let is_complete =
+            text.len() == 2 * FINGERPRINT_BYTES && text.is_ascii();
         let number = u128::from_str_radix(text, 16).ok();
-        let number = number.filter(|_| whole).ok_or_else(error)?;
+        let number = number.filter(|_| is_complete).ok_or_else(error)?;
         Ok(Fingerprint(number.to_be_bytes()))
     }
 }
 
-/// Takes a request's content as it comes, so that no body is kept for it and
-/// a long one holds up nothing when its last byte is there.
+/// Computes a fingerprint incrementally, so that request bodies need not be
+/// buffered.
 #[derive(Clone, Debug)]
 pub struct Hasher(blake3::Hasher);
 
 impl Hasher {
-    /// Begins with the parts of the head that name the request. Each is
-    /// hashed with its length, so that no two lists of parts are taken for
-    /// the same.
+    /// Starts with the parts of the request head that identify the request.
+    /// Each part is prefixed with its length, so that different lists of parts
+    /// never hash alike.
     pub fn new<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Hasher {
         let mut hasher = blake3::Hasher::new();
         for part in parts {
@@ -64,14 +65,14 @@
         Hasher(hasher)
     }
 
-    /// Adds the next bytes of the body.
+    /// Hashes the next bytes of the body.
     pub fn update(&mut self, bytes: &[u8]) {
         self.0.update(bytes);
     }
 
-    /// The fingerprint of all that came.
+    /// Returns the fingerprint of everything hashed so far.
     pub fn finish(&self) -> Fingerprint {
-        let mut bytes = [0; LEN];
+        let mut bytes = [0; FINGERPRINT_BYTES];
         self.0.finalize_xof().fill(&mut bytes);
         Fingerprint(bytes)
     }
--- a/crates/walnutmoor-core/src/poison/isolation.rs
+++ b/crates/walnutmoor-core/src/poison/isolation.rs
@@ -1,42 +1,39 @@
 /*!
-Which suspects run at an instance at the same time.
+Limits which suspects run concurrently at one instance.
 
-The load pattern: an instance has ended with all that it ran, some twenty
-requests, and one of them is to blame. Run together at the next instances, all
-of them are suspect again if one ends; run one at a time, the innocent wait for
-each other, and most instances that end do so by themselves.
-
-So those under which one instance has ended run up to a number at a time; and
-one under which two have ended runs with no other suspect beside it, so that
-the third crash has one author.
+Suspects that run together become suspect together if the instance crashes
+again, while running them one at a time delays the innocent ones. So suspects
+of one crash share the instance up to a limit, and a suspect of two or more
+crashes runs with no other suspect beside it, so that a further crash can be
+attributed to it alone.
 */
 
 use std::collections::VecDeque;
 
 use crate::{digest::Map, id::CallId};
 
-/// Suspects that wait for their turn. More would wait for longer than it
-/// takes to come again.
+/// The most suspects queued at an instance. Beyond this, a client is better
+/// served by retrying later.
 const WAITING_MAX: usize = 64;
 
 /// Crashes from which a suspect runs alone.
-const ALONE_FROM: u32 = 2;
+const MIN_CRASHES_TO_RUN_ALONE: u32 = 2;
 
-/// When a suspect runs.
+/// Whether a suspect may run at an instance.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Turn {
-    /// Now.
-    Now,
-    /// After others.
-    Later,
-    /// Not here: too many wait.
-    Never,
+pub enum Admission {
+    /// It runs now.
+    Admitted,
+    /// It waits until other suspects have ended.
+    Queued,
+    /// It does not run here: the queue is full.
+    Rejected,
 }
 
-/// The suspects at one instance.
+/// The running and queued suspects of one instance.
 #[derive(Debug)]
 pub struct Isolation {
-    group: usize,
+    max_concurrent: usize,
     running: Map<CallId, u32>,
     waiting: VecDeque<(CallId, u32)>,
 }
@@ -48,48 +45,47 @@
 }
 
 impl Isolation {
-    /// Suspects of one crash that run at the same time. Replayed with three
-    /// instances and one request that ends them, those that a crash hit were
-    /// served after 182, 98 and 95 ms at the mean with four, 16 and any number,
-    /// and all instances were down at once for 203, 60 and 61 ms of 20 s. With
-    /// any number, 29 of some 10,000 requests whose contents many callers
-    /// share were refused where instances also end by themselves, and none
-    /// with the others (60 seeds each).
-    pub const GROUP: usize = 16;
-
-    /// No suspect is here.
+    /// The default limit on concurrent suspects of one crash. A lower limit
+    /// delays innocent suspects; without a limit, requests with commonly
+    /// shared content are refused more often.
+    pub const MAX_CONCURRENT: usize = 16;
+
+    /// An empty instance with the default limit.
     pub fn new() -> Isolation {
-        Isolation::of(Isolation::GROUP)
+        Isolation::with_max_concurrent(Isolation::MAX_CONCURRENT)
     }
 
-    /// The same with another number of suspects at the same time.
-    pub fn of(group: usize) -> Isolation {
+    /// An empty instance that runs at most `max_concurrent` suspects of one
+    /// crash at a time.
+    pub fn with_max_concurrent(max_concurrent: usize) -> Isolation {
         let running = Map::default();
-        Isolation { group, running, waiting: VecDeque::new() }
+        Isolation { max_concurrent, running, waiting: VecDeque::new() }
     }
 
-    /// A suspect has come under which so many instances have ended.
-    pub fn enter(&mut self, call: CallId, crashes: u32) -> Turn {
+    /// Runs or queues a suspect of `crashes` crashes.
+    pub fn admit(&mut self, call: CallId, crashes: u32) -> Admission {
         if self.waiting.is_empty() && self.may_run(crashes) {
             self.running.insert(call, crashes);
-            return Turn::Now;
+            return Admission::Admitted;
         }
         if self.waiting.len() >= WAITING_MAX {
-            return Turn::Never;
+            return Admission::Rejected;
         }
         self.waiting.push_back((call, crashes));
-        Turn::Later
+        Admission::Queued
     }
 
-    /// A call has ended, wherever it was; suspect or not.
-    pub fn leave(&mut self, call: CallId) {
+    /// Removes a call that has ended, whether it was running, queued or not a
+    /// suspect at all.
+    pub fn release(&mut self, call: CallId) {
         if self.running.remove(&call).is_none() {
             self.waiting.retain(|(waiting, _)| *waiting != call);
         }
     }
 
-    /// The next one whose turn it is.
-    pub fn advance(&mut self) -> Option<CallId> {
+    /// Admits the suspect at the head of the queue, if it may run now. Call it
+    /// until it returns `None`.
+    pub fn admit_next(&mut self) -> Option<CallId> {
         let (call, crashes) = *self.waiting.front()?;
         if !self.may_run(crashes) {
             return None;
@@ -99,17 +95,18 @@
         Some(call)
     }
 
-    /// Those that wait, who will have no turn here.
-    pub fn clear(&mut self) -> Vec<CallId> {
+    /// Empties the queue and returns the calls that waited in it.
+    pub fn drain(&mut self) -> Vec<CallId> {
         self.waiting.drain(..).map(|(call, _)| call).collect()
     }
 
     fn may_run(&self, crashes: u32) -> bool {
-        if crashes >= ALONE_FROM {
+        if crashes >= MIN_CRASHES_TO_RUN_ALONE {
             return self.running.is_empty();
         }
         let mut others = self.running.values();
-        let shares = others.all(|crashes| *crashes < ALONE_FROM);
-        shares && self.running.len() < self.group
+        let all_share =
+            others.all(|crashes| *crashes < MIN_CRASHES_TO_RUN_ALONE);
+        all_share && self.running.len() < self.max_concurrent
     }
 }
--- a/crates/walnutmoor-core/src/poison/placement.rs
+++ b/crates/walnutmoor-core/src/poison/placement.rs
@@ -1,53 +1,49 @@
 /*!
-Which instance tries a suspect.
+Chooses the instance that runs a suspect.
 
-The load pattern: an instance has ended, and what it ran is sent on at once,
-from many nodes, to its siblings. With the request at fault among it, they end
-as well.
-
-Weighed were: any sibling, as for all other requests; and one that follows from
-the request alone. With the second, attempts from all nodes meet at one
-instance, where they run one after the other, while different suspects spread
-over all instances. Nothing is agreed on: nodes that see other siblings choose
-otherwise, and then two instances may end instead of one.
+When an instance crashes, many nodes retry its requests at once, the poison
+request among them. Rendezvous hashing on the fingerprint sends all attempts
+of one suspect to the same instance, where they are isolated, and spreads
+different suspects over all instances. Nodes do not coordinate: if their views
+of the usable instances differ, they may choose different ones.
 */
 
-use super::{Fingerprint, SPREAD_FROM};
+use super::{Fingerprint, MIN_CRASHES_TO_SHARE};
 use crate::{digest, id::NodeId, time::Millis};
 
-/// When a caller may come back whose request is not tried for now. Instances
-/// that ended start again within some seconds.
-pub const HOLD: Millis = Millis(1_500);
+/// When a client may retry a deferred suspect. Crashed instances usually
+/// restart within seconds.
+pub const SUSPECT_RETRY_AFTER: Millis = Millis(1_500);
 
-/// Where a suspect is tried.
+/// Where a suspect runs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Place {
+pub enum Placement {
     /// At this instance.
     At(NodeId),
-    /// Nowhere, for now.
-    Hold,
+    /// Nowhere for now.
+    Defer,
 }
 
-/// Chooses among instances that take work. Under the request so many have
-/// ended; `known` is how many the service has, with those that take none.
+/// Chooses among the `usable` instances for a request with `crashes` unrefuted
+/// crashes; `known` counts all instances of the service, usable or not.
 ///
-/// A request under which two have ended is most likely to end the next one as
-/// well. It is not tried at the last of several, which others need. One under
-/// which a single instance has ended most likely only ran beside, and is not
-/// held up; and a service that has only one instance has to use it.
+/// A request with two or more crashes is likely to crash the next instance
+/// too, so it is kept off the last usable instance, unless the service has
+/// only one. A request with a single crash is most likely innocent and is
+/// never deferred while an instance is usable.
 pub fn place(
     request: Fingerprint,
     crashes: u32,
     usable: &[NodeId],
     known: usize,
-) -> Place {
-    let last = usable.len() == 1 && known > 1;
-    if last && crashes >= SPREAD_FROM {
-        return Place::Hold;
+) -> Placement {
+    let is_last = usable.len() == 1 && known > 1;
+    if is_last && crashes >= MIN_CRASHES_TO_SHARE {
+        return Placement::Defer;
     }
     let rank = |node: &&NodeId| digest::of(&(request, node.to_string()));
     match usable.iter().max_by_key(rank) {
-        Some(node) => Place::At(*node),
-        None => Place::Hold,
+        Some(node) => Placement::At(*node),
+        None => Placement::Defer,
     }
 }
--- a/crates/walnutmoor-core/src/poison/register.rs
+++ b/crates/walnutmoor-core/src/poison/register.rs
@@ -1,185 +1,188 @@
 /*!
-Under which requests instances have ended.
+Tracks which requests are suspect or barred.
 */
 
-use super::{Crash, Evidence, Fingerprint, success::Sound};
+use super::{Crash, Evidence, Fingerprint, success::Successes};
 use crate::{digest::Map, time::Millis};
 
-/// Instances that must have ended under a request before it is refused. Two
-/// can end by chance while it runs: all of a service may be killed at once,
-/// and what the first held is then sent on to the second.
-const BARRED_FROM: u32 = 3;
+/// Crashes from which a request is barred. An innocent request may meet two by
+/// chance, when instances are killed together and the request is retried at
+/// the second one.
+const MIN_CRASHES_TO_BAR: u32 = 3;
 
-/// Crashes that must come on top where the request was cleared before, one for
-/// each crash that a good run has refuted, up to so many. What ends all that
-/// runs it never ran well; contents that many callers share do, and are under
-/// way whenever an instance ends by itself: 22 of some 10,000 requests with
-/// such contents were refused without this, and none with it (replayed, 60
-/// seeds).
-const BARRED_LATER: u32 = 2;
+/// The most extra crashes needed to bar a request, one for each refuted crash.
+/// A poison request never succeeds, whereas content shared by many clients
+/// does and is running whenever an instance crashes for another reason.
+const EXTRA_CRASHES_MAX: u32 = 2;
 
-/// How long a request is barred for after the third crash. Then one instance
-/// tries it again, as the fault may have been mended meanwhile; a release
-/// takes some minutes.
-const BARRED_FOR: Millis = Millis(600_000);
+/// How long a request is barred for at first. It is then tried again, as the
+/// fault may have been fixed by a release.
+const BAR_DURATION: Millis = Millis(600_000);
 
-/// How often the span doubles, with each crash beyond the third: to an hour
-/// and twenty minutes.
+/// The most times [`BAR_DURATION`] doubles, once for each further crash.
 const DOUBLINGS_MAX: u32 = 3;
 
-/// How long a suspicion is kept that grows no more. Callers that come again
-/// do so within seconds.
-const SUSPECT_FOR: Millis = Millis(600_000);
+/// How long a suspicion without new crashes is kept; longer than clients
+/// retry.
+const SUSPECT_TTL: Millis = Millis(600_000);
 
-/// How long it is kept that a request was found innocent, so that what others
-/// tell late does not revive the suspicion.
-const REFUTED_FOR: Millis = Millis(60_000);
+/// How long a cleared request is remembered, so that evidence that arrives
+/// late does not make it suspect again.
+const REFUTED_TTL: Millis = Millis(60_000);
 
-/// Requests that are known at the most; at 150 bytes some 300 KB.
+/// The most requests tracked, to bound memory.
 const RECORDS_MAX: usize = 2_048;
 
-/// What is believed of a request.
+/// The judgement of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Standing {
-    /// Nothing speaks against it.
+    /// No unrefuted crash.
     Clear,
-    /// So many instances have ended while it ran.
+    /// The number of unrefuted crashes, too few to bar it.
     Suspect(u32),
-    /// It ends what runs it, and is refused for so long.
+    /// It is refused; the time until it may be tried again.
     Barred(Millis),
 }
 
-/// How a belief has changed.
+/// A change of the evidence about a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Change {
-    /// What is known now.
+    /// The evidence after the change.
     pub evidence: Evidence,
-    /// What was believed before.
+    /// The standing before the change.
     pub before: Standing,
-    /// What is believed now.
+    /// The standing after the change.
     pub after: Standing,
 }
 
 #[derive(Clone, Debug)]
 struct Record {
     evidence: Evidence,
-    /// When the last crash was, on this node's clock.
-    last: Millis,
+    /// When the evidence last changed, on this node's clock.
+    updated_at: Millis,
 }
 
 impl Record {
     fn new(fingerprint: Fingerprint) -> Record {
         let evidence = Evidence { fingerprint, ..Evidence::default() };
-        Record { evidence, last: Millis(0) }
+        Record { evidence, updated_at: Millis(0) }
     }
 
     fn standing(&self, now: Millis) -> Standing {
-        let weight = self.evidence.weight();
-        if weight == 0 {
+        let crashes = self.evidence.unrefuted_crashes();
+        if crashes == 0 {
             return Standing::Clear;
         }
-        let barred_from = self.barred_from();
-        let left = (self.last + barred_for(weight)).since(now);
-        if weight >= barred_from && left > Millis(0) {
+        let min_crashes = self.min_crashes_to_bar();
+        let left = (self.updated_at + bar_duration(crashes)).since(now);
+        if crashes >= min_crashes && left > Millis(0) {
             return Standing::Barred(left);
         }
-        Standing::Suspect(weight.min(barred_from - 1))
+        Standing::Suspect(crashes.min(min_crashes - 1))
     }
 
-    /// Crashes from which it is refused.
-    fn barred_from(&self) -> u32 {
+    /// Crashes from which this request is barred.
+    fn min_crashes_to_bar(&self) -> u32 {
         let refuted = self.evidence.refuted.len() as u32;
-        BARRED_FROM + refuted.min(BARRED_LATER)
+        MIN_CRASHES_TO_BAR + refuted.min(EXTRA_CRASHES_MAX)
     }
 
-    /// True if it is to be forgotten.
-    fn is_over(&self, now: Millis) -> bool {
-        let weight = self.evidence.weight();
-        let kept = match weight {
-            0 => REFUTED_FOR,
-            // One crash more bars it again.
-            BARRED_FROM.. => barred_for(weight) + barred_for(weight),
-            _ => SUSPECT_FOR,
+    /// True if the record may be dropped.
+    fn is_expired(&self, now: Millis) -> bool {
+        let crashes = self.evidence.unrefuted_crashes();
+        let ttl = match crashes {
+            0 => REFUTED_TTL,
+            // Outlives the bar, so that one more crash bars it again.
+            MIN_CRASHES_TO_BAR.. => {
+                bar_duration(crashes) + bar_duration(crashes)
+            }
+            _ => SUSPECT_TTL,
         };
-        now.since(self.last) > kept
+        now.since(self.updated_at) > ttl
     }
 
-    fn told(&self, now: Millis) -> Evidence {
-        let age = now.since(self.last);
+    fn aged_evidence(&self, now: Millis) -> Evidence {
+        let age = now.since(self.updated_at);
         Evidence { age, ..self.evidence.clone() }
     }
 }
 
-/// How long so many crashes bar a request.
-fn barred_for(weight: u32) -> Millis {
-    let beyond = weight.saturating_sub(BARRED_FROM).min(DOUBLINGS_MAX);
-    Millis(BARRED_FOR.0 << beyond)
+/// How long a request with this number of crashes is barred for.
+fn bar_duration(crashes: u32) -> Millis {
+    let doublings =
+        crashes.saturating_sub(MIN_CRASHES_TO_BAR).min(DOUBLINGS_MAX);
+    Millis(BAR_DURATION.0 << doublings)
 }
 
-/// What one node believes of requests under which instances have ended.
+/// One node's view of the requests that may crash instances.
 #[derive(Debug, Default)]
 pub struct Register {
     records: Map<Fingerprint, Record>,
-    sound: Sound,
+    successes: Successes,
 }
 
 impl Register {
-    /// Nothing is known.
+    /// An empty register.
     pub fn new() -> Register {
         Register::default()
     }
 
-    /// How many requests are known.
+    /// The number of tracked requests.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// True if no request is known.
+    /// True if no request is tracked.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// What is believed of a request.
+    /// The standing of a request; [`Standing::Clear`] if it is not tracked.
     pub fn standing(&self, now: Millis, request: Fingerprint) -> Standing {
         let record = self.records.get(&request);
         record.map_or(Standing::Clear, |record| record.standing(now))
     }
 
-    /// What is known of a request, if anything is.
+    /// The evidence about a request, if it is tracked.
     pub fn evidence(
         &self,
         now: Millis,
         request: Fingerprint,
     ) -> Option<Evidence> {
-        self.records.get(&request).map(|record| record.told(now))
+        self.records.get(&request).map(|record| record.aged_evidence(now))
     }
 
-    /// What is known of requests under which several instances have ended,
-    /// the worst first.
-    pub fn worst(&self, now: Millis, most: usize) -> Vec<Evidence> {
-        let told = self.records.values().map(|record| record.told(now));
-        let mut all: Vec<Evidence> = told.filter(Evidence::spreads).collect();
+    /// Shared evidence, at most `limit` entries, those with the most crashes
+    /// first.
+    pub fn worst(&self, now: Millis, limit: usize) -> Vec<Evidence> {
+        let all = self.records.values().map(|r| r.aged_evidence(now));
+        let mut all: Vec<Evidence> = all.filter(Evidence::is_shared).collect();
         all.sort_by_key(|e| (std::cmp::Reverse(e.crashes.len()), e.age));
-        all.truncate(most);
+        all.truncate(limit);
         all
     }
 
-    /// True if a request with this content has run to its end here a moment
-    /// ago, so that it is not to blame for a crash.
-    pub fn is_sound(&self, now: Millis, request: Fingerprint) -> bool {
-        self.sound.has(now, request)
+    /// True if a request with this content succeeded here recently, so that
+    /// it is not suspected after a crash.
+    pub fn has_recent_success(
+        &self,
+        now: Millis,
+        request: Fingerprint,
+    ) -> bool {
+        self.successes.is_recent(now, request)
     }
 
-    /// An instance has ended, and these requests ran there. Those that have
-    /// run well a moment ago are not suspect.
-    pub fn note_crash(
+    /// Records that an instance crashed while it ran these requests. Those
+    /// with a recent success are not suspected.
+    pub fn record_crash(
         &mut self,
         now: Millis,
         crash: Crash,
-        ran: &[Fingerprint],
+        running: &[Fingerprint],
     ) -> Vec<Change> {
-        let sound = |request: &&Fingerprint| self.is_sound(now, **request);
-        let suspects = ran.iter().filter(|request| !sound(request));
+        let succeeded =
+            |request: &&Fingerprint| self.has_recent_success(now, **request);
+        let suspects = running.iter().filter(|request| !succeeded(request));
         let suspects: Vec<Fingerprint> = suspects.copied().collect();
         let changes = suspects.iter().filter_map(|request| {
             let fingerprint = *request;
@@ -191,49 +194,56 @@
         changes.collect()
     }
 
-    /// Takes what another node or the store tells; `None` if it was known.
-    pub fn merge(&mut self, now: Millis, told: &Evidence) -> Option<Change> {
-        let request = told.fingerprint;
+    /// Merges evidence from another node or the store. Returns `None` if it
+    /// contained nothing new.
+    pub fn merge(
+        &mut self,
+        now: Millis,
+        received: &Evidence,
+    ) -> Option<Change> {
+        let request = received.fingerprint;
         self.make_room(request);
         let before = self.standing(now, request);
         let record = self
             .records
             .entry(request)
             .or_insert_with(|| Record::new(request));
-        if !record.evidence.merge(told) {
+        if !record.evidence.merge(received) {
             return None;
         }
-        record.last = record.last.max(Millis(now.since(told.age).0));
+        record.updated_at =
+            record.updated_at.max(Millis(now.since(received.age).0));
         Some(self.change(now, request, before))
     }
 
-    /// A request ran to its end: it is to blame for no crash so far.
-    pub fn note_run(
+    /// Records a successful run, which refutes all crashes of the request so
+    /// far.
+    pub fn record_success(
         &mut self,
         now: Millis,
         request: Fingerprint,
     ) -> Option<Change> {
-        self.sound.note(now, request);
+        self.successes.record(now, request);
         let before = self.standing(now, request);
         if before == Standing::Clear {
             return None;
         }
         let record = self.records.get_mut(&request)?;
         record.evidence.refuted = record.evidence.crashes.clone();
-        record.last = now;
+        record.updated_at = now;
         Some(self.change(now, request, before))
     }
 
-    /// Forgets what has lapsed; what was believed of it.
+    /// Removes expired records and returns their evidence.
     pub fn sweep(&mut self, now: Millis) -> Vec<Evidence> {
-        let over = |record: &&Record| record.is_over(now);
-        let over = self.records.values().filter(over);
-        let over: Vec<Evidence> =
-            over.map(|record| record.told(now)).collect();
-        for evidence in &over {
+        let expired = |record: &&Record| record.is_expired(now);
+        let expired = self.records.values().filter(expired);
+        let expired: Vec<Evidence> =
+            expired.map(|record| record.aged_evidence(now)).collect();
+        for evidence in &expired {
             self.records.remove(&evidence.fingerprint);
         }
-        over
+        expired
     }
 
     fn change(
@@ -246,8 +256,9 @@
         Change { evidence, before, after: self.standing(now, request) }
     }
 
-    /// Makes room for one more: the oldest of the least suspect goes. What is
-    /// barred goes last, so that no flood of others frees it.
+    /// Evicts a record if the register is full: the oldest of those with the
+    /// fewest crashes, so that a flood of suspects does not displace barred
+    /// requests.
     fn make_room(&mut self, newcomer: Fingerprint) {
         let known = self.records.contains_key(&newcomer);
         if known || self.records.len() < RECORDS_MAX {
@@ -255,7 +266,11 @@
         }
         let least = self.records.values().min_by_key(|record| {
             let evidence = &record.evidence;
-            (evidence.weight(), record.last, evidence.fingerprint)
+            (
+                evidence.unrefuted_crashes(),
+                record.updated_at,
+                evidence.fingerprint,
+            )
         });
         let least = least.map(|record| record.evidence.fingerprint);
         if let Some(least) = least {
--- a/crates/walnutmoor-core/src/poison/success.rs
+++ b/crates/walnutmoor-core/src/poison/success.rs
@@ -1,9 +1,9 @@
 /*!
-Contents that have run well a moment ago.
+Remembers which request contents succeeded recently.
 
-The load pattern: many callers send the same content, so it is under way
-whenever an instance ends, and in three instances if three end at once. What
-ends all that runs it has never run well, so such a content is not suspect.
+Content that many clients send is running whenever an instance crashes, for
+whatever reason. A poison request never succeeds, so content with a recent
+success is not suspected.
 */
 
 use std::collections::VecDeque;
@@ -11,27 +11,27 @@
 use super::Fingerprint;
 use crate::{digest::Map, time::Millis};
 
-/// How long a good run speaks for a content. One that begins to end instances,
-/// as the data that it meets have changed, is suspect from then on.
-const SOUND_FOR: Millis = Millis(10_000);
+/// How long a success protects content from suspicion. Content may turn poison
+/// later, when the data it acts on changes.
+const SUCCESS_TTL: Millis = Millis(10_000);
 
-/// Contents that are remembered; at some 60 bytes 250 KB. Those that come
-/// seldom are forgotten sooner, and only those that come often need it.
-const SOUND_MAX: usize = 4_096;
+/// The most successes remembered, to bound memory. Rare content is evicted
+/// sooner, which is harmless: only frequent content needs the protection.
+const SUCCESSES_MAX: usize = 4_096;
 
-/// The contents that have run well.
+/// The latest success of each content.
 #[derive(Debug, Default)]
-pub(super) struct Sound {
+pub(super) struct Successes {
     last: Map<Fingerprint, Millis>,
     order: VecDeque<(Millis, Fingerprint)>,
 }
 
-impl Sound {
-    /// A request with this content has run to its end.
-    pub(super) fn note(&mut self, now: Millis, content: Fingerprint) {
+impl Successes {
+    /// Records that a request with this content succeeded.
+    pub(super) fn record(&mut self, now: Millis, content: Fingerprint) {
         self.last.insert(content, now);
         self.order.push_back((now, content));
-        while self.order.len() > SOUND_MAX {
+        while self.order.len() > SUCCESSES_MAX {
             let Some((at, oldest)) = self.order.pop_front() else {
                 return;
             };
@@ -41,9 +41,9 @@
         }
     }
 
-    /// True if it has done so a moment ago.
-    pub(super) fn has(&self, now: Millis, content: Fingerprint) -> bool {
+    /// True if a request with this content succeeded recently.
+    pub(super) fn is_recent(&self, now: Millis, content: Fingerprint) -> bool {
         let last = self.last.get(&content);
-        last.is_some_and(|at| now.since(*at) <= SOUND_FOR)
+        last.is_some_and(|at| now.since(*at) <= SUCCESS_TTL)
     }
 }
--- a/crates/walnutmoor-core/tests/catch_up.rs
+++ b/crates/walnutmoor-core/tests/catch_up.rs
@@ -1,4 +1,4 @@
-//! Which peer is asked for a newer desired state, and when.
+//! When a newer desired state is requested, and from which peer.
 
 use walnutmoor_core::{
     catch_up::CatchUp,
@@ -21,67 +21,67 @@
     Edition { version: Version(version), stamp: Stamp { era, revision } }
 }
 
-/// How often a node asks that is told by so many peers within a moment, each
-/// after it was told.
-fn asks(peers: u16, own: Edition, watches: bool) -> usize {
+/// The number of requests that a node sends when many peers offer a newer
+/// state within a short time.
+fn count_requests(peers: u16, own: Edition, watches: bool) -> usize {
     let mut catch_up = CatchUp::new();
     let mut count = 0;
     for peer in 1..=peers {
         let now = Millis(u64::from(peer) / 10);
-        catch_up.told(now, NEW, id(peer));
-        count += usize::from(catch_up.ask(now, own, watches).is_some());
+        catch_up.record_offer(now, NEW, id(peer));
+        count += usize::from(catch_up.next_peer(now, own, watches).is_some());
     }
     count
 }
 
 #[test]
-fn a_node_that_starts_among_many_asks_one_of_them() {
-    assert_eq!(asks(300, NONE, true), 1);
-    assert_eq!(asks(300, NONE, false), 1);
+fn a_starting_node_asks_one_of_many_peers() {
+    assert_eq!(count_requests(300, NONE, true), 1);
+    assert_eq!(count_requests(300, NONE, false), 1);
 }
 
 #[test]
-fn a_node_that_watches_waits_for_its_watch_first() {
-    assert_eq!(asks(300, OLD, true), 0);
-    assert_eq!(asks(300, OLD, false), 1);
+fn a_watcher_waits_for_its_own_watch_first() {
+    assert_eq!(count_requests(300, OLD, true), 0);
+    assert_eq!(count_requests(300, OLD, false), 1);
 }
 
 #[test]
-fn another_is_asked_when_the_first_does_not_answer() {
+fn another_peer_is_asked_when_the_first_does_not_answer() {
     let mut catch_up = CatchUp::new();
-    catch_up.told(Millis(0), NEW, id(1));
-    assert_eq!(catch_up.ask(Millis(0), OLD, false), Some(id(1)));
-    catch_up.told(Millis(50), NEW, id(2));
+    catch_up.record_offer(Millis(0), NEW, id(1));
+    assert_eq!(catch_up.next_peer(Millis(0), OLD, false), Some(id(1)));
+    catch_up.record_offer(Millis(50), NEW, id(2));
 
-    assert_eq!(catch_up.ask(Millis(150), OLD, false), None);
-    assert_eq!(catch_up.ask(Millis(200), OLD, false), Some(id(2)));
+    assert_eq!(catch_up.next_peer(Millis(150), OLD, false), None);
+    assert_eq!(catch_up.next_peer(Millis(200), OLD, false), Some(id(2)));
 }
 
 #[test]
-fn a_watch_that_brings_nothing_is_not_waited_for() {
+fn a_watcher_asks_a_peer_after_the_timeout() {
     let mut catch_up = CatchUp::new();
-    catch_up.told(Millis(0), NEW, id(1));
+    catch_up.record_offer(Millis(0), NEW, id(1));
 
-    assert_eq!(catch_up.ask(Millis(199), OLD, true), None);
-    assert_eq!(catch_up.ask(Millis(200), OLD, true), Some(id(1)));
+    assert_eq!(catch_up.next_peer(Millis(199), OLD, true), None);
+    assert_eq!(catch_up.next_peer(Millis(200), OLD, true), Some(id(1)));
 }
 
 #[test]
-fn what_the_node_has_is_not_asked_for() {
+fn a_state_that_is_not_newer_is_not_requested() {
     let mut catch_up = CatchUp::new();
-    catch_up.told(Millis(0), OLD, id(1));
+    catch_up.record_offer(Millis(0), OLD, id(1));
 
-    assert_eq!(catch_up.ask(Millis(0), OLD, false), None);
-    assert_eq!(catch_up.ask(Millis(0), NEW, false), None);
+    assert_eq!(catch_up.next_peer(Millis(0), OLD, false), None);
+    assert_eq!(catch_up.next_peer(Millis(0), NEW, false), None);
 }
 
 #[test]
-fn a_newer_one_is_asked_for_at_once_though_an_older_one_was() {
+fn an_even_newer_state_is_requested_at_once() {
     let mut catch_up = CatchUp::new();
-    catch_up.told(Millis(0), OLD, id(1));
-    assert!(catch_up.ask(Millis(0), OLDEST, false).is_some());
+    catch_up.record_offer(Millis(0), OLD, id(1));
+    assert!(catch_up.next_peer(Millis(0), OLDEST, false).is_some());
 
-    catch_up.told(Millis(1), NEW, id(2));
+    catch_up.record_offer(Millis(1), NEW, id(2));
 
-    assert_eq!(catch_up.ask(Millis(1), OLDEST, false), Some(id(2)));
+    assert_eq!(catch_up.next_peer(Millis(1), OLDEST, false), Some(id(2)));
 }
--- a/crates/walnutmoor-core/tests/edition.rs
+++ b/crates/walnutmoor-core/tests/edition.rs
@@ -1,10 +1,10 @@
-//! The order of desired states over a store that comes back from older copies
-//! of itself, replayed without IO against an oracle: no node goes back within a
-//! life, and once all is quiet every node has what was written last.
+//! The order of desired states when the store is restored from backups: no
+//! node may go back to an older version, and all must converge on the last
+//! write.
 //!
-//! Two rival orders meet the same loads: by era and revision, which takes the
-//! older copy for newer than what was acknowledged, and by revision alone, which
-//! takes what is written after a restore for old.
+//! Two weaker orders are checked to fail: by era and revision, which prefers a
+//! restored state to a newer one, and by revision alone, which ignores writes
+//! after a restore.
 
 use rand_chacha::{
     ChaCha8Rng,
@@ -18,22 +18,21 @@
 const NODES: usize = 5;
 const STEPS: usize = 300;
 
-/// Enough for a million steps together.
 const SEEDS: u64 = 3_400;
 
-/// Tells whether an offered state is newer than the own one.
+/// Returns true if an offered state is newer than the current one.
 type Order = fn(Edition, Edition) -> bool;
 
-fn by_version(offered: Edition, own: Edition) -> bool {
-    offered > own
+fn by_version(offered: Edition, current: Edition) -> bool {
+    offered > current
 }
 
-fn by_stamp(offered: Edition, own: Edition) -> bool {
-    offered.stamp > own.stamp
+fn by_stamp(offered: Edition, current: Edition) -> bool {
+    offered.stamp > current.stamp
 }
 
-fn by_revision(offered: Edition, own: Edition) -> bool {
-    offered.stamp.revision > own.stamp.revision
+fn by_revision(offered: Edition, current: Edition) -> bool {
+    offered.stamp.revision > current.stamp.revision
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -42,28 +41,34 @@
     revision: u64,
 }
 
-/// A store that may be restored, and an operator who writes again what it has
-/// lost.
+/// A store that may be restored, and the operator's record of what was
+/// written.
 #[derive(Debug)]
 struct Store {
     era: u64,
     revision: u64,
     state: Written,
-    copies: Vec<(u64, Written)>,
-    /// What the operator wrote last.
-    last: u64,
+    backups: Vec<(u64, Written)>,
+    /// The latest version that the operator wrote.
+    last_version: u64,
 }
 
 impl Store {
     fn new() -> Store {
         let state = Written { version: 1, revision: 1 };
-        Store { era: 1, revision: 1, state, copies: Vec::new(), last: 1 }
+        Store {
+            era: 1,
+            revision: 1,
+            state,
+            backups: Vec::new(),
+            last_version: 1,
+        }
     }
 
     fn write(&mut self, version: u64) {
         self.revision += 1;
         self.state = Written { version, revision: self.revision };
-        self.last = self.last.max(version);
+        self.last_version = self.last_version.max(version);
     }
 
     fn read(&self) -> Edition {
@@ -74,40 +79,40 @@
         Edition { version: Version(self.state.version), stamp }
     }
 
-    fn restore(&mut self, copy: (u64, Written)) {
-        (self.revision, self.state) = copy;
+    fn restore(&mut self, backup: (u64, Written)) {
+        (self.revision, self.state) = backup;
         self.era += 1;
     }
 }
 
-/// What a run has shown.
+/// Violations counted in a run.
 #[derive(Debug, Default)]
 struct Tally {
-    went_back: usize,
-    behind_at_the_end: usize,
+    regressions: usize,
+    stale_nodes: usize,
 }
 
-struct Replay {
+struct Simulation {
     rng: ChaCha8Rng,
     order: Order,
     store: Store,
     nodes: [Edition; NODES],
-    /// The highest version that each life of a node had in force.
+    /// The highest version that the current incarnation of each node adopted.
     highest: [u64; NODES],
-    /// Answers on their way, which may come after any later event.
-    late: Vec<(usize, Edition)>,
+    /// Answers in flight, which may arrive after any later event.
+    in_flight: Vec<(usize, Edition)>,
     tally: Tally,
 }
 
-impl Replay {
-    fn new(seed: u64, order: Order) -> Replay {
-        Replay {
+impl Simulation {
+    fn new(seed: u64, order: Order) -> Simulation {
+        Simulation {
             rng: ChaCha8Rng::seed_from_u64(seed),
             order,
             store: Store::new(),
             nodes: Default::default(),
             highest: Default::default(),
-            late: Vec::new(),
+            in_flight: Vec::new(),
             tally: Tally::default(),
         }
     }
@@ -123,7 +128,7 @@
         self.nodes[node] = offered;
         let version = offered.version.0;
         if version < self.highest[node] {
-            self.tally.went_back += 1;
+            self.tally.regressions += 1;
         }
         self.highest[node] = version.max(self.highest[node]);
     }
@@ -132,110 +137,110 @@
         let node = self.below(NODES);
         match self.below(20) {
             0..=3 => {
-                let next = self.store.last + 1 + self.below(4) as u64;
+                let next = self.store.last_version + 1 + self.below(4) as u64;
                 self.store.write(next);
             }
             4 => {
-                let copy = (self.store.revision, self.store.state);
-                self.store.copies.push(copy);
+                let backup = (self.store.revision, self.store.state);
+                self.store.backups.push(backup);
             }
             5 => self.restore(),
-            // The operator writes again what the store has lost.
-            6 => self.store.write(self.store.last),
+            // The operator repeats a write that the store may have lost.
+            6 => self.store.write(self.store.last_version),
             7..=11 => {
                 let read = self.store.read();
                 self.offer(node, read);
             }
             12 => {
                 let read = self.store.read();
-                self.late.push((node, read));
+                self.in_flight.push((node, read));
             }
-            13 if !self.late.is_empty() => {
-                let index = self.below(self.late.len());
-                let (node, read) = self.late.swap_remove(index);
+            13 if !self.in_flight.is_empty() => {
+                let index = self.below(self.in_flight.len());
+                let (node, read) = self.in_flight.swap_remove(index);
                 self.offer(node, read);
             }
-            // A new life knows nothing, and hears a peer before it serves.
+            // A restarted node knows nothing and asks a peer first.
             14 => {
                 self.nodes[node] = Edition::default();
                 self.highest[node] = 0;
-                self.tell(node);
+                self.ask_peer(node);
             }
-            _ => self.tell(node),
+            _ => self.ask_peer(node),
         }
     }
 
-    /// A node hears of what another has.
-    fn tell(&mut self, node: usize) {
+    /// Offers a node the state of a random node.
+    fn ask_peer(&mut self, node: usize) {
         let other = self.below(NODES);
-        let told = self.nodes[other];
-        if !told.is_none() {
-            self.offer(node, told);
+        let offered = self.nodes[other];
+        if !offered.is_none() {
+            self.offer(node, offered);
         }
     }
 
     fn restore(&mut self) {
-        if self.store.copies.is_empty() {
+        if self.store.backups.is_empty() {
             return;
         }
-        let index = self.below(self.store.copies.len());
-        let copy = self.store.copies[index];
-        // Copies of what a restore took away are gone with it.
-        self.store.copies.truncate(index + 1);
-        self.store.restore(copy);
+        let index = self.below(self.store.backups.len());
+        let backup = self.store.backups[index];
+        // A restore discards the backups taken later.
+        self.store.backups.truncate(index + 1);
+        self.store.restore(backup);
     }
 
-    /// The operator has written again, late answers are in, and every node
-    /// reads the store.
+    /// Repeats the operator's last write, delivers answers in flight and lets
+    /// every node read the store.
     fn settle(&mut self) {
-        self.store.write(self.store.last);
-        for (node, read) in std::mem::take(&mut self.late) {
+        self.store.write(self.store.last_version);
+        for (node, read) in std::mem::take(&mut self.in_flight) {
             self.offer(node, read);
         }
         let read = self.store.read();
         (0..NODES).for_each(|node| self.offer(node, read));
-        let last = Version(self.store.last);
-        let behind = self.nodes.iter().filter(|node| node.version != last);
-        self.tally.behind_at_the_end = behind.count();
+        let last = Version(self.store.last_version);
+        let stale = self.nodes.iter().filter(|node| node.version != last);
+        self.tally.stale_nodes = stale.count();
     }
 }
 
-fn replay(seed: u64, order: Order) -> Tally {
-    let mut replay = Replay::new(seed, order);
-    (0..STEPS).for_each(|_| replay.step());
-    replay.settle();
-    replay.tally
+fn simulate(seed: u64, order: Order) -> Tally {
+    let mut simulation = Simulation::new(seed, order);
+    (0..STEPS).for_each(|_| simulation.step());
+    simulation.settle();
+    simulation.tally
 }
 
 fn sum(order: Order) -> Tally {
     let mut sum = Tally::default();
-    for tally in (0..SEEDS).map(|seed| replay(seed, order)) {
-        sum.went_back += tally.went_back;
-        sum.behind_at_the_end += tally.behind_at_the_end;
+    for tally in (0..SEEDS).map(|seed| simulate(seed, order)) {
+        sum.regressions += tally.regressions;
+        sum.stale_nodes += tally.stale_nodes;
     }
     sum
 }
 
 #[test]
-fn no_node_goes_back_and_all_agree_in_the_end() {
+fn no_node_regresses_and_all_converge() {
     for seed in 0..SEEDS {
-        let tally = replay(seed, by_version);
+        let tally = simulate(seed, by_version);
 
-        assert_eq!(tally.went_back, 0, "seed {seed}");
-        assert_eq!(tally.behind_at_the_end, 0, "seed {seed}");
+        assert_eq!(tally.regressions, 0, "seed {seed}");
+        assert_eq!(tally.stale_nodes, 0, "seed {seed}");
     }
 }
 
 #[test]
-fn the_store_s_own_order_goes_back_to_older_copies() {
+fn ordering_by_era_and_revision_regresses_after_a_restore() {
     let sum = sum(by_stamp);
 
-    assert!(sum.went_back > 0, "{sum:?}");
+    assert!(sum.regressions > 0, "{sum:?}");
 }
 
 #[test]
-fn revisions_alone_leave_nodes_behind() {
+fn ordering_by_revision_alone_leaves_nodes_stale() {
     let sum = sum(by_revision);
 
-    assert!(sum.behind_at_the_end > 0, "{sum:?}");
+    assert!(sum.stale_nodes > 0, "{sum:?}");
 }
--- a/crates/walnutmoor-core/tests/guards.rs
+++ b/crates/walnutmoor-core/tests/guards.rs
@@ -156,8 +156,8 @@
         incarnation: Incarnation(2),
         revision: Revision(1),
         root: 0,
-        news: Vec::new(),
-        body: Body::Whole(Box::new(config(1))),
+        updates: Vec::new(),
+        body: Body::Snapshot(Box::new(config(1))),
     };
     let mut out = Vec::new();
     node.handle(Millis(5), Event::Packet(Box::new(packet)), &mut out);
@@ -222,7 +222,7 @@
         incarnation: Incarnation(2),
         revision: Revision(0),
         root: 0,
-        news: vec![dead],
+        updates: vec![dead],
         body: Body::Member(Message::Ack { seq: 0 }),
     };
 
--- a/crates/walnutmoor-core/tests/net/mod.rs
+++ b/crates/walnutmoor-core/tests/net/mod.rs
@@ -493,7 +493,9 @@
     }
 
     pub fn gossip_len(&self, index: usize) -> usize {
-        self.sites[index].as_ref().map_or(0, |s| s.node.directory().live())
+        self.sites[index]
+            .as_ref()
+            .map_or(0, |s| s.node.directory().live_count())
     }
 
     pub fn assert_sound(&self) {
--- a/crates/walnutmoor-core/tests/poison.rs
+++ b/crates/walnutmoor-core/tests/poison.rs
@@ -1,95 +1,119 @@
-//! Requests that end instances: what is believed of them, and what that costs
-//! everybody else.
+//! Detection of poison requests, and its cost for innocent ones.
 
 mod crashes;
 
-use crashes::{Outcome, Setup, play};
+use crashes::{Outcome, Setup, simulate};
 
-/// Plays a setup with many seeds.
-fn plays(setup: &Setup) -> Vec<Outcome> {
-    plays_of(setup, 20)
+fn simulate_default_seeds(setup: &Setup) -> Vec<Outcome> {
+    simulate_seeds(setup, 20)
 }
 
-fn plays_of(setup: &Setup, seeds: u64) -> Vec<Outcome> {
+fn simulate_seeds(setup: &Setup, seeds: u64) -> Vec<Outcome> {
     let seeds = 1..=seeds;
-    let play = |seed| play(Setup { seed, ..setup.clone() });
-    seeds.map(play).collect()
+    let simulate = |seed| simulate(Setup { seed, ..setup.clone() });
+    seeds.map(simulate).collect()
 }
 
 #[test]
-fn after_three_crashes_a_request_is_sent_no_more_than_three_times() {
+fn a_request_runs_at_most_three_times_once_three_crashes_are_known() {
     let kinds = [
         Setup::default(),
-        Setup { cut: true, ..Setup::default() },
-        Setup { fatal_kinds: 3, ..Setup::default() },
-        Setup { takes: 240, innocent: 300, ..Setup::default() },
-        Setup { crashes: 1.0, ..Setup::default() },
+        Setup { is_partitioned: true, ..Setup::default() },
+        Setup { poison_kinds: 3, ..Setup::default() },
+        Setup {
+            mean_run_ms: 240,
+            innocent_per_second: 300,
+            ..Setup::default()
+        },
+        Setup { crashes_per_second: 1.0, ..Setup::default() },
     ];
     for setup in kinds {
-        for outcome in plays(&setup) {
-            assert!(outcome.late <= 3, "{setup:?}: {outcome:?}");
+        for outcome in simulate_default_seeds(&setup) {
+            assert!(outcome.late_runs <= 3, "{setup:?}: {outcome:?}");
         }
     }
 }
 
 #[test]
-fn without_evidence_the_replay_breaks_the_bound() {
-    let blind = plays(&Setup { blind: true, ..Setup::default() });
-    assert!(blind.iter().all(|outcome| outcome.late > 3));
+fn without_evidence_the_bound_is_exceeded() {
+    let without = simulate_default_seeds(&Setup {
+        ignores_evidence: true,
+        ..Setup::default()
+    });
+    assert!(without.iter().all(|outcome| outcome.late_runs > 3));
 }
 
-/// The aim: nobody is refused who was not suspect in three crashes.
+/// No request may be refused whose content saw fewer than three crashes.
 #[test]
 fn innocent_requests_are_not_refused_for_their_content() {
     let kinds = [
         Setup::default(),
-        Setup { fatal_kinds: 3, ..Setup::default() },
-        Setup { crashes: 1.0, ..Setup::default() },
-        Setup { fatal: 0, crashes: 1.0, ..Setup::default() },
-        Setup { popular: true, crashes: 1.0, ..Setup::default() },
+        Setup { poison_kinds: 3, ..Setup::default() },
+        Setup { crashes_per_second: 1.0, ..Setup::default() },
+        Setup {
+            poison_per_second: 0,
+            crashes_per_second: 1.0,
+            ..Setup::default()
+        },
+        Setup {
+            shares_content: true,
+            crashes_per_second: 1.0,
+            ..Setup::default()
+        },
     ];
     for setup in kinds {
-        for outcome in plays(&setup) {
-            let allowed = outcome.barred == 0 || outcome.barred_by >= 3;
+        for outcome in simulate_default_seeds(&setup) {
+            let allowed =
+                outcome.barred == 0 || outcome.barred_crashes_max >= 3;
             assert!(allowed, "{setup:?}: {outcome:?}");
         }
     }
 }
 
-/// Contents that many innocent callers share are under way whenever an
-/// instance ends. They also run to their end, which clears them.
+/// Content that many clients share is running whenever an instance crashes,
+/// but its successes clear it.
 #[test]
-fn contents_that_many_share_are_not_refused() {
-    let setup = Setup { popular: true, crashes: 1.0, ..Setup::default() };
-    for outcome in plays_of(&setup, 60) {
+fn content_shared_by_many_clients_is_not_refused() {
+    let setup = Setup {
+        shares_content: true,
+        crashes_per_second: 1.0,
+        ..Setup::default()
+    };
+    for outcome in simulate_seeds(&setup, 60) {
         assert_eq!(outcome.barred, 0, "{outcome:?}");
     }
 }
 
-/// Sums a figure over all plays.
 fn sum(all: &[Outcome], figure: fn(&Outcome) -> u64) -> u64 {
     all.iter().map(figure).sum()
 }
 
 #[test]
-fn all_instances_are_seldom_down_at_once_though_a_request_ends_them() {
+fn evidence_reduces_the_time_with_all_instances_down() {
     let setup = Setup::default();
-    let seen = plays(&setup);
-    let blind = plays(&Setup { blind: true, ..setup });
-    let [seen, blind] = [seen, blind].map(|all| sum(&all, |o| o.all_down));
-    assert!(seen * 10 < blind, "{seen} ms, and {blind} ms without");
+    let with = simulate_default_seeds(&setup);
+    let without =
+        simulate_default_seeds(&Setup { ignores_evidence: true, ..setup });
+    let [with, without] =
+        [with, without].map(|all| sum(&all, |o| o.all_down_ms));
+    assert!(with * 10 < without, "{with} ms, and {without} ms without");
 }
 
 #[test]
-fn where_instances_end_by_themselves_as_many_are_served() {
-    let setup = Setup { fatal: 0, crashes: 1.0, ..Setup::default() };
-    let seen = plays(&setup);
-    let blind = plays(&Setup { blind: true, ..setup });
-    let part = |all: &[Outcome]| {
+fn evidence_does_not_cost_goodput_when_crashes_are_unrelated() {
+    let setup = Setup {
+        poison_per_second: 0,
+        crashes_per_second: 1.0,
+        ..Setup::default()
+    };
+    let with = simulate_default_seeds(&setup);
+    let without =
+        simulate_default_seeds(&Setup { ignores_evidence: true, ..setup });
+    let served_ratio = |all: &[Outcome]| {
         let served = sum(all, |o| o.served);
         let lost = sum(all, |o| o.failed + o.refused + o.barred);
         served as f64 / (served + lost) as f64
     };
-    let (seen, blind) = (part(&seen), part(&blind));
-    assert!(seen > blind - 0.01, "{seen}, and {blind} without");
+    let (with, without) = (served_ratio(&with), served_ratio(&without));
+    assert!(with > without - 0.01, "{with}, and {without} without");
 }
--- a/crates/walnutmoor-core/tests/watcher.rs
+++ b/crates/walnutmoor-core/tests/watcher.rs
@@ -1,37 +1,45 @@
-//! Who watches the desired state.
+//! Election of the nodes that watch the store.
 
 use walnutmoor_core::{
     id::NodeId,
-    watcher::{Rank, WATCHERS, is_chosen},
+    watcher::{Rank, WATCHERS_PER_ZONE, should_watch},
 };
 
 fn rank(port: u16) -> Rank {
     Rank::of(NodeId(([127, 0, 0, 1], port).into()))
 }
 
-/// The nodes of a zone of these that watch, if all reach each other and only
-/// the first `able` of them the store.
-fn watchers(nodes: &[u16], able: usize) -> Vec<u16> {
-    let is_able = |node: &u16| nodes[..able].contains(node);
+/// The watchers of a zone in which all nodes reach each other, but only the
+/// first `reaching` of them reach the store.
+fn watchers(nodes: &[u16], reaching: usize) -> Vec<u16> {
+    let reaches_store = |node: &u16| nodes[..reaching].contains(node);
     let chosen = |me: &&u16| {
         let others = nodes.iter().filter(|node| node != me);
-        let others = others.filter(|node| is_able(node));
-        is_chosen(rank(**me), is_able(me), others.map(|node| rank(*node)))
+        let others = others.filter(|node| reaches_store(node));
+        should_watch(
+            rank(**me),
+            reaches_store(me),
+            others.map(|node| rank(*node)),
+        )
     };
     nodes.iter().filter(chosen).copied().collect()
 }
 
 #[test]
-fn a_few_of_a_zone_watch_whatever_its_size() {
+fn the_number_of_watchers_does_not_depend_on_the_zone_size() {
     for count in [2, 3, 20, 300] {
         let nodes: Vec<u16> = (1..=count).collect();
 
-        assert_eq!(watchers(&nodes, nodes.len()).len(), WATCHERS, "{count}");
+        assert_eq!(
+            watchers(&nodes, nodes.len()).len(),
+            WATCHERS_PER_ZONE,
+            "{count}"
+        );
     }
 }
 
 #[test]
-fn others_take_over_from_those_that_are_gone() {
+fn other_nodes_replace_watchers_that_are_gone() {
     let nodes: Vec<u16> = (1..=20).collect();
     let before = watchers(&nodes, nodes.len());
     let rest = nodes.iter().filter(|node| !before.contains(node));
@@ -39,28 +47,28 @@
 
     let after = watchers(&rest, rest.len());
 
-    assert_eq!(after.len(), WATCHERS);
+    assert_eq!(after.len(), WATCHERS_PER_ZONE);
 }
 
 #[test]
-fn only_those_that_reach_the_store_watch_while_enough_do() {
+fn only_nodes_that_reach_the_store_watch_if_enough_do() {
     let nodes: Vec<u16> = (1..=20).collect();
 
     let watchers = watchers(&nodes, 5);
 
-    assert_eq!(watchers.len(), WATCHERS);
+    assert_eq!(watchers.len(), WATCHERS_PER_ZONE);
     assert!(watchers.iter().all(|node| nodes[..5].contains(node)));
 }
 
 #[test]
-fn all_try_where_none_reaches_the_store() {
+fn all_nodes_retry_if_none_reaches_the_store() {
     let nodes: Vec<u16> = (1..=20).collect();
 
     assert_eq!(watchers(&nodes, 0), nodes);
 }
 
 #[test]
-fn a_node_that_reaches_nobody_watches() {
-    assert!(is_chosen(rank(1), true, []));
-    assert!(is_chosen(rank(1), false, []));
+fn an_isolated_node_watches() {
+    assert!(should_watch(rank(1), true, []));
+    assert!(should_watch(rank(1), false, []));
 }
--- a/crates/walnutmoor-standin/src/measure/slopes.rs
+++ b/crates/walnutmoor-standin/src/measure/slopes.rs
@@ -103,11 +103,11 @@
 fn filled(members: usize) -> Gossip {
     let mut gossip = Gossip::new(record(0), Millis(0));
     for index in 1..members {
-        gossip.members_mut().learn(Millis(1), &record(index));
+        gossip.members_mut().merge(Millis(1), &record(index));
     }
     // The news of all is spread; what is left is the steady state.
-    while gossip.members().news_len() > 0 {
-        gossip.members_mut().take_news(member::NEWS_MAX);
+    while gossip.members().pending_updates() > 0 {
+        gossip.members_mut().take_updates(member::PACKET_UPDATES_MAX);
     }
     gossip.members_mut().take_events();
     gossip
@@ -124,8 +124,8 @@
     for round in 0..TIMES {
         let mut changed = record(1 + round % (members - 1));
         changed.version += 1 + round as u64;
-        gossip.members_mut().learn(Millis(2), &changed);
-        gossip.members_mut().take_news(member::NEWS_MAX);
+        gossip.members_mut().merge(Millis(2), &changed);
+        gossip.members_mut().take_updates(member::PACKET_UPDATES_MAX);
     }
     print("learn_one_record", members, micros(begun, TIMES), "us");
 
@@ -134,7 +134,7 @@
     let mut now = Millis(10);
     let begun = Instant::now();
     for _ in 0..1_000 {
-        now += member::PERIOD;
+        now += member::PROBE_INTERVAL;
         gossip.tick(now, &mut rng, &mut out);
         // All answer at once: the fleet is well.
         for (_, body) in std::mem::take(&mut out) {
@@ -151,26 +151,26 @@
 }
 
 fn packets(members: usize, gossip: &mut Gossip) {
-    while gossip.members().news_len() > 0 {
-        gossip.members_mut().take_news(member::NEWS_MAX);
+    while gossip.members().pending_updates() > 0 {
+        gossip.members_mut().take_updates(member::PACKET_UPDATES_MAX);
     }
     let probe = Body::Member(member::Message::Probe { seq: 1 });
-    let empty = gossip.seal(Revision(1), probe.clone()).encode().len();
+    let empty = gossip.build_packet(Revision(1), probe.clone()).encode().len();
     print("probe_packet", members, empty as f64, "B");
-    gossip.members_mut().learn(Millis(3), &{
+    gossip.members_mut().merge(Millis(3), &{
         let mut changed = record(1);
         changed.version += u64::from(u32::MAX);
         changed
     });
-    let news = gossip.seal(Revision(1), probe).encode().len();
+    let news = gossip.build_packet(Revision(1), probe).encode().len();
     print("news_item", members, (news - empty) as f64, "B");
     let digests = gossip.members().directory().digests().to_vec();
     let body = Body::Digests(digests);
-    let size = gossip.seal(Revision(1), body).encode().len();
+    let size = gossip.build_packet(Revision(1), body).encode().len();
     print("repair_question", members, size as f64, "B");
     let records = gossip.members().directory().bucket(7);
-    let body = Body::Records { records, whole: vec![7] };
-    let size = gossip.seal(Revision(1), body).encode().len();
+    let body = Body::Records { records, complete: vec![7] };
+    let size = gossip.build_packet(Revision(1), body).encode().len();
     print("repair_bucket", members, size as f64, "B");
 }
 
@@ -189,8 +189,8 @@
     for index in 0..members.div_ceil(16) {
         let news = (0..16).map(|i| record((1 + index * 16 + i) % members));
         let ack = Body::Member(member::Message::Ack { seq: 0 });
-        let mut packet = other.seal(Revision(0), ack);
-        packet.news = news.collect();
+        let mut packet = other.build_packet(Revision(0), ack);
+        packet.updates = news.collect();
         let event = Event::Packet(Box::new(packet));
         node.handle(Millis(2), event, &mut out);
     }
@@ -297,7 +297,7 @@
     print("configuration_object", SERVICES, json.len() as f64, "B");
     let mut gossip = Gossip::new(record(0), Millis(0));
     let size = |gossip: &mut Gossip, body: Body| {
-        gossip.seal(Revision(1), body).encode().len() as f64
+        gossip.build_packet(Revision(1), body).encode().len() as f64
     };
     let change = size(&mut gossip, Body::Entries(vec![entry]));
     print("change_packet", 1, change, "B");
@@ -336,6 +336,8 @@
     let bytes = (rss_kb() - before) * 1024.0 / 20_000.0;
     print("witness_memory_per_mark", 20_000, bytes, "B");
     let mut gossip = Gossip::new(record(0), Millis(0));
-    let size = gossip.seal(Revision(1), Body::Mark(tickets[0])).encode();
+    let size = gossip
+        .build_packet(Revision(1), Body::MarkRequest(tickets[0]))
+        .encode();
     print("mark_packet", 1, size.len() as f64, "B");
 }
--- a/crates/walnutmoor/src/mesh/desired.rs
+++ b/crates/walnutmoor/src/mesh/desired.rs
@@ -213,7 +213,7 @@
             return;
         }
         let now = self.now();
-        self.desired.catch_up.borrow_mut().told(now, edition, peer);
+        self.desired.catch_up.borrow_mut().record_offer(now, edition, peer);
         // A node without any desired state serves nobody: no time to lose.
         if self.edition().is_none() {
             self.catch_up();
@@ -239,7 +239,7 @@
     pub fn catch_up(&self) {
         let watches = self.desired.watches.get();
         let mut catch_up = self.desired.catch_up.borrow_mut();
-        let peer = catch_up.ask(self.now(), self.edition(), watches);
+        let peer = catch_up.next_peer(self.now(), self.edition(), watches);
         if let Some(link) = peer.and_then(|peer| self.link(peer)) {
             link.send(Frame::Fetch);
         }
@@ -270,6 +270,6 @@
         let links = self.links();
         let others = links.iter().filter_map(|link| link.watcher(zone));
         let me = watcher::Rank::of(self.me);
-        watcher::is_chosen(me, self.is_able(), others)
+        watcher::should_watch(me, self.is_able(), others)
     }
 }
--- a/crates/walnutmoor/src/mesh/dispatch.rs
+++ b/crates/walnutmoor/src/mesh/dispatch.rs
@@ -18,7 +18,7 @@
     error::Kind,
     footprint::Footprint,
     id::{Account, CallId, NodeId, Service},
-    poison::{self, Fingerprint, Place, Standing},
+    poison::{self, Fingerprint, Placement, Standing},
     table::{Effect, Route},
     time::Millis,
 };
@@ -204,7 +204,7 @@
 ) -> Next {
     // Its caller is not kept waiting for the third crash, and an attempt
     // that has met two is most likely to bring it about.
-    if crashes >= poison::SPREAD_FROM && course.way.may_have_run() {
+    if crashes >= poison::MIN_CRASHES_TO_SHARE && course.way.may_have_run() {
         return Next::Hold;
     }
     let balance = state.balance.borrow();
@@ -215,8 +215,8 @@
         return Next::Nobody;
     }
     match poison::place(request.fingerprint, crashes, &usable, known) {
-        Place::At(node) => Next::Send(node),
-        Place::Hold => Next::Hold,
+        Placement::At(node) => Next::Send(node),
+        Placement::Defer => Next::Hold,
     }
 }
 
@@ -311,7 +311,7 @@
     /// It is not tried for now, as it would most likely end the last
     /// instance.
     fn hold(&mut self) -> End {
-        self.refusal = Some((Kind::Poisoned, poison::HOLD));
+        self.refusal = Some((Kind::Poisoned, poison::SUSPECT_RETRY_AFTER));
         self.give_up(Kind::Poisoned)
     }
 
--- a/crates/walnutmoor/src/mesh/ingress/admission.rs
+++ b/crates/walnutmoor/src/mesh/ingress/admission.rs
@@ -9,7 +9,7 @@
     bulkhead,
     error::{Kind, Ran, Refusal},
     footprint::Key,
-    poison::SPREAD_FROM,
+    poison::MIN_CRASHES_TO_SHARE,
     repeat::{Asker, Lot},
     table::{Effect, Route},
     throttle::Ended,
@@ -112,7 +112,9 @@
 /// True if several instances have ended while they ran this.
 fn is_fatal(state: &State, request: &dispatch::Request) -> bool {
     let evidence = state.evidence(request.fingerprint);
-    evidence.is_some_and(|evidence| evidence.weight() >= SPREAD_FROM)
+    evidence.is_some_and(|evidence| {
+        evidence.unrefuted_crashes() >= MIN_CRASHES_TO_SHARE
+    })
 }
 
 /// The status of an instance whose run did not end in time.
--- a/crates/walnutmoor/src/mesh/serve.rs
+++ b/crates/walnutmoor/src/mesh/serve.rs
@@ -22,7 +22,9 @@
     footprint::Footprint,
     id::CallId,
     lifetime::Belief,
-    poison::{Fingerprint, HOLD, Isolation, Standing, Turn},
+    poison::{
+        Admission, Fingerprint, Isolation, SUSPECT_RETRY_AFTER, Standing,
+    },
     repeat::{self, Asker, Lot, Repeats},
     table::Effect,
     time::Millis,
@@ -334,12 +336,17 @@
         let job = Job::new(now, call, sink);
         self.jobs.borrow_mut().insert(id, job);
         if let Standing::Suspect(crashes) = standing {
-            let turn = self.isolation.borrow_mut().enter(id, crashes);
+            let turn = self.isolation.borrow_mut().admit(id, crashes);
             match turn {
-                Turn::Now => {}
-                Turn::Later => return,
-                Turn::Never => {
-                    return self.drop_job(state, id, Kind::Queued, HOLD);
+                Admission::Admitted => {}
+                Admission::Queued => return,
+                Admission::Rejected => {
+                    return self.drop_job(
+                        state,
+                        id,
+                        Kind::Queued,
+                        SUSPECT_RETRY_AFTER,
+                    );
                 }
             }
         }
@@ -375,14 +382,14 @@
         id: CallId,
     ) -> Option<Job> {
         let job = self.jobs.borrow_mut().remove(&id)?;
-        self.isolation.borrow_mut().leave(id);
+        self.isolation.borrow_mut().release(id);
         self.advance_suspects(state);
         Some(job)
     }
 
     fn advance_suspects(&self, state: &Rc<State>) {
         loop {
-            let next = self.isolation.borrow_mut().advance();
+            let next = self.isolation.borrow_mut().admit_next();
             match next {
                 Some(next) => self.offer(state, next),
                 None => return,
@@ -445,7 +452,7 @@
             }
         }
         if !self.bulkhead.borrow().is_open() {
-            let suspects = self.isolation.borrow_mut().clear();
+            let suspects = self.isolation.borrow_mut().drain();
             for id in suspects {
                 self.drop_job(state, id, Kind::Leaving, Millis(0));
             }
--- a/crates/walnutmoor/src/mesh/suspicion.rs
+++ b/crates/walnutmoor/src/mesh/suspicion.rs
@@ -99,7 +99,7 @@
     /// True if a request with this content ran well here a moment ago.
     pub(super) fn is_sound(&self, request: Fingerprint) -> bool {
         let register = self.suspicion.register.borrow();
-        register.is_sound(self.now(), request)
+        register.has_recent_success(self.now(), request)
     }
 
     /// What is known of a request, if anything is.
@@ -136,7 +136,7 @@
         let now = self.now();
         let changes = {
             let mut register = self.suspicion.register.borrow_mut();
-            register.note_crash(now, crash, ran)
+            register.record_crash(now, crash, ran)
         };
         for change in changes {
             self.follow_change(&change, "own instance");
@@ -153,12 +153,12 @@
         let now = self.now();
         let changes = {
             let mut register = self.suspicion.register.borrow_mut();
-            register.note_crash(now, crash, &[request])
+            register.record_crash(now, crash, &[request])
         };
         for change in changes {
             self.follow_change(&change, "reply");
             // The node beside the instance may not reach all others.
-            if change.evidence.spreads() {
+            if change.evidence.is_shared() {
                 self.tell(request);
             }
         }
@@ -192,11 +192,11 @@
         }
         let change = {
             let mut register = self.suspicion.register.borrow_mut();
-            register.note_run(self.now(), request)
+            register.record_success(self.now(), request)
         };
         if let Some(change) = change {
             self.follow_change(&change, "ran to its end");
-            if change.evidence.spreads() {
+            if change.evidence.is_shared() {
                 self.tell(request);
             }
         }
@@ -209,7 +209,7 @@
             register.sweep(self.now())
         };
         for evidence in over {
-            if !evidence.spreads() {
+            if !evidence.is_shared() {
                 continue;
             }
             self.note_suspicion("ends", &evidence, "lapsed");
@@ -225,7 +225,7 @@
     /// the line of the crash names all that ran.
     fn follow_change(&self, change: &Change, source: &str) {
         let Change { evidence, before, after } = change;
-        if !evidence.spreads() {
+        if !evidence.is_shared() {
             return;
         }
         let step = match (before, after) {
--- a/crates/walnutmoor/tests/mesh/watching.rs
+++ b/crates/walnutmoor/tests/mesh/watching.rs
@@ -1,6 +1,6 @@
 //! A few nodes watch the desired state for all of their zone.
 
-use walnutmoor_core::{table::Effect, watcher::WATCHERS};
+use walnutmoor_core::{table::Effect, watcher::WATCHERS_PER_ZONE};
 use walnutmoor_standin::soak::proxy::Mode;
 
 use crate::fixture::{World, desired, route, routes, run, until};
@@ -16,7 +16,8 @@
 /// don't; tells who does.
 async fn settled(world: &World) -> Vec<usize> {
     let watchers = || (0..NODES).filter(|at| world.watches(*at) == Some(true));
-    until("a few watch", || async { watchers().count() == WATCHERS }).await;
+    until("a few watch", || async { watchers().count() == WATCHERS_PER_ZONE })
+        .await;
     watchers().collect()
 }
 
@@ -73,7 +74,7 @@
         until("others watch", || async {
             let others = (0..NODES).filter(|index| !before.contains(index));
             let watching = others.filter(|i| world.watches(*i) == Some(true));
-            watching.count() >= WATCHERS
+            watching.count() >= WATCHERS_PER_ZONE
         })
         .await;
 
@@ -93,7 +94,7 @@
         until("others watch", || async {
             let others = (0..NODES).filter(|index| !before.contains(index));
             let watching = others.filter(|i| world.watches(*i) == Some(true));
-            watching.count() >= WATCHERS
+            watching.count() >= WATCHERS_PER_ZONE
         })
         .await;
         for index in &before {
