--- a/crates/walnutmoor-core/src/node/control.rs
+++ b/crates/walnutmoor-core/src/node/control.rs
@@ -503,7 +503,7 @@
         out: &mut Vec<Action>,
     ) {
         let deadline = now + PROPOSE_FOR;
-        let new = Proposal { ask, author, op, base, deadline };
+        let new = Proposal { reply_to: ask, author, op, base, deadline };
         let mut steps = Vec::new();
         self.proposer.propose(new, &mut steps);
         self.take_steps(steps, out);
--- a/crates/walnutmoor-core/src/poison/register.rs
+++ b/crates/walnutmoor-core/src/poison/register.rs
@@ -38,9 +38,9 @@
 pub enum Standing {
     /// No unrefuted crash.
     Clear,
-    /// The number of unrefuted crashes, too few to bar it.
+    /// The number of unrefuted crashes, capped below the number that bars it.
     Suspect(u32),
-    /// It is refused; the time until it may be tried again.
+    /// It is refused; holds the time until it may be tried again.
     Barred(Millis),
 }
 
