--- a/crates/walnutmoor-standin/src/measure/slopes.rs
+++ b/crates/walnutmoor-standin/src/measure/slopes.rs
@@ -301,7 +301,7 @@
     };
     let change = size(&mut gossip, Body::Entries(vec![entry]));
     print("change_packet", 1, change, "B");
-    let whole = size(&mut gossip, Body::Whole(Box::new(config.clone())));
+    let whole = size(&mut gossip, Body::Snapshot(Box::new(config.clone())));
     print("whole_configuration_packet", SERVICES, whole, "B");
     let begun = Instant::now();
     for _ in 0..100 {
