--- a/crates/walnutmoor/src/mesh/ingress.rs
+++ b/crates/walnutmoor/src/mesh/ingress.rs
@@ -182,7 +182,7 @@
     ) -> Result<Arrival, Box<Turned>> {
         let attempt = header::attempt(&head.headers).unwrap_or_default();
         let mut stay = Stay::new(state, attempt);
-        let body_max = state.table().unwrap_or_default().limits.body;
+        let body_max = state.table().unwrap_or_default().limits.max_body_bytes;
         match look_up(state, &stay, &head) {
             Ok((route, origin)) => {
                 stay.route = route.name.clone();
@@ -278,7 +278,7 @@
     /// account's flood is not taken for demand, and then as load allows.
     async fn carry(&mut self, state: &Rc<State>) -> Result<Answer, Refusal> {
         let account = self.origin.account().cloned();
-        let target = self.route.target;
+        let target = self.route.target_latency;
         let permit = state.acquire(account.as_deref(), target).await?;
         let request = match admission::admit(state, self) {
             Ok(request) => request,
@@ -314,7 +314,7 @@
     let origin = identify(state, &table.accounts, &route, stay, head)?;
     if let Framing::Length(length) = head.framing {
         let length = usize::try_from(length).unwrap_or(usize::MAX);
-        if length > table.limits.body {
+        if length > table.limits.max_body_bytes {
             return Err(Kind::TooLarge);
         }
         if length > held_max(state).saturating_sub(state.held.get()) {
@@ -336,10 +336,10 @@
     let key = header::key(&head.headers);
     let sender = Sender {
         is_public: route.is_public,
-        is_run: state.serve.is_made_here(id),
-        is_like_call: header::parent(id).is_some(),
+        is_local_run: state.serve.is_made_here(id),
+        has_call_id: header::parent(id).is_some(),
     };
-    let account = accounts.judge(key, sender)?.cloned();
+    let account = accounts.authenticate(key, sender)?.cloned();
     // Whoever bears a key where there are accounts is a caller.
     let may_be_run = accounts.is_empty() || key == Key::Missing;
     let parent = match account.is_none() && may_be_run {
@@ -397,8 +397,8 @@
     let now = state.now();
     if state.journal.has_room(now, Event::Refused) {
         let throttle = state.throttle.borrow();
-        let let_in = throttle.part(&stay.route);
-        let spent = throttle.spent(&stay.route);
+        let let_in = throttle.admitted_fraction(&stay.route);
+        let spent = throttle.retry_budget_spent(&stay.route);
         let demand = state.balance.borrow().pressures().worst.demand;
         let fields = [
             ("why", kind.as_str().into()),
--- a/crates/walnutmoor/src/mesh/ingress/admission.rs
+++ b/crates/walnutmoor/src/mesh/ingress/admission.rs
@@ -9,10 +9,10 @@
     bulkhead,
     error::{Kind, Ran, Refusal},
     footprint::Key,
-    poison::SPREAD_FROM,
-    repeat::{Asker, Lot},
+    poison::MIN_CRASHES_TO_SHARE,
+    retry_budget::{Priority, SampleKey},
     table::{Effect, Route},
-    throttle::Ended,
+    throttle::Outcome,
     time::Millis,
 };
 use walnutmoor_platform::header;
@@ -50,7 +50,7 @@
         Origin::Caller(_) => None,
     };
     if parent.is_none() && !is_let_in(state, &stay.attempt, route, left) {
-        let span = route.target.0 as f64 * RETRY_CUT;
+        let span = route.target_latency.0 as f64 * RETRY_CUT;
         let refusal = Refusal::new(Kind::Overloaded, Ran::No);
         return Err(refusal.retry_after(Millis(span as u64)));
     }
@@ -100,8 +100,11 @@
     if route.effect == Effect::Idempotent {
         return true;
     }
-    let lot = Lot::of(header::root(attempt));
-    throttle.carries(&route.name, Asker { rank: route.priority, lot })
+    let sample_key = SampleKey::of(header::root(attempt));
+    throttle.can_complete(
+        &route.name,
+        Priority { rank: route.priority, sample_key },
+    )
 }
 
 pub(super) fn path(head: &Head) -> String {
@@ -112,7 +115,9 @@
 /// True if several instances have ended while they ran this.
 fn is_fatal(state: &State, request: &dispatch::Request) -> bool {
     let evidence = state.evidence(request.fingerprint);
-    evidence.is_some_and(|evidence| evidence.weight() >= SPREAD_FROM)
+    evidence.is_some_and(|evidence| {
+        evidence.unrefuted_crashes() >= MIN_CRASHES_TO_SHARE
+    })
 }
 
 /// The status of an instance whose run did not end in time.
@@ -124,7 +129,7 @@
     let route = &request.route;
     let mut throttle = state.throttle.borrow_mut();
     if let End::Answered { footprint, .. } = end {
-        throttle.hear(footprint);
+        throttle.observe_services(footprint);
     }
     match end {
         End::Answered { footprint, .. } if request.inner => {
@@ -140,17 +145,26 @@
         End::Answered { status, footprint, .. } => {
             if *status < 500 {
                 let own = Key::of(&request.service);
-                throttle.learn(&route.name, route.priority, footprint, own);
+                throttle.observe_route(
+                    &route.name,
+                    route.priority,
+                    footprint,
+                    own,
+                );
             }
-            let short = footprint.is_starved() || *status == DEADLINE;
+            let short = footprint.has_refused_call() || *status == DEADLINE;
             let ended = match *status >= 500 && short {
-                true => Ended::Starved,
-                false => Ended::Served,
+                true => Outcome::Overloaded,
+                false => Outcome::Completed,
             };
-            throttle.ended(&route.name, route.priority, ended);
+            throttle.record_outcome(&route.name, route.priority, ended);
         }
         End::Failed(_) if !request.inner => {
-            throttle.ended(&route.name, route.priority, Ended::Served);
+            throttle.record_outcome(
+                &route.name,
+                route.priority,
+                Outcome::Completed,
+            );
         }
         End::Refused(..) | End::Failed(_) => {}
     }
--- a/crates/walnutmoor/src/mesh/run.rs
+++ b/crates/walnutmoor/src/mesh/run.rs
@@ -44,7 +44,7 @@
         serve.repeated.set(serve.repeated.get() + 1);
     }
     if call.echo && !call.repeat {
-        serve.repeats.borrow_mut().echo(now);
+        serve.repeats.borrow_mut().record_nested(now);
     }
     let parent =
         Parent { priority: call.priority, repeat: call.repeat || call.echo };
@@ -80,12 +80,12 @@
     }
     let answered = matches!(outcome, Outcome::Answer(..));
     let turned_away = matches!(outcome, Outcome::Answer(Verdict::NotRun, ..));
-    serve.repeats.borrow_mut().arrived(turned_away);
+    serve.repeats.borrow_mut().record_arrival(turned_away);
     let mut footprint = serve.footprint(&attempt);
     let service = &state.settings.service;
     let ended = state.now();
     let told = serve.repeats.borrow().state(ended);
-    footprint.add_at(Key::of(service), ended.since(now), told);
+    footprint.add_with_state(Key::of(service), ended.since(now), told);
     let crash = crash.filter(|_| !state.is_sound(fingerprint));
     let reply = match crash {
         // Why the instance went away is not lost: whoever sends the request
--- a/crates/walnutmoor/src/mesh/serve.rs
+++ b/crates/walnutmoor/src/mesh/serve.rs
@@ -21,9 +21,11 @@
     error::Kind,
     footprint::Footprint,
     id::CallId,
-    lifetime::Belief,
-    poison::{Fingerprint, HOLD, Isolation, Standing, Turn},
-    repeat::{self, Asker, Lot, Repeats},
+    lifetime::Tracker,
+    poison::{
+        Admission, Fingerprint, Isolation, SUSPECT_RETRY_AFTER, Standing,
+    },
+    retry_budget::{self, Priority, RetryBudget, SampleKey},
     table::Effect,
     time::Millis,
 };
@@ -169,7 +171,7 @@
 #[derive(Debug)]
 pub struct Serve {
     pub(super) bulkhead: RefCell<Bulkhead>,
-    pub(super) repeats: RefCell<Repeats>,
+    pub(super) repeats: RefCell<RetryBudget>,
     /// What all instances of the service may repeat besides.
     slack: Option<f64>,
     pub(super) jobs: RefCell<Map<CallId, Job>>,
@@ -180,7 +182,7 @@
     /// Tells when the instance has crashed.
     pub(super) detector: Detector,
     /// What is believed of the instance.
-    pub(super) belief: RefCell<Belief>,
+    pub(super) belief: RefCell<Tracker>,
     pub(super) suspended: Cell<bool>,
     pub(super) retired: Cell<bool>,
     last: Cell<u64>,
@@ -199,13 +201,13 @@
     /// No instance is known yet.
     pub fn new(settings: &Settings) -> Serve {
         let bounds = settings.bounds();
-        let mut config = repeat::Config::new();
+        let mut config = retry_budget::Config::new();
         if let Some(ratio) = bounds.repeat_ratio {
             config = config.ratio(ratio * RATIO_PART);
             config = config.total(ratio * TOTAL_PART);
             let total = ratio * LEAF_TOTAL_PART;
             config = config.leaf(ratio * LEAF_PART, total);
-            config = config.earlier(EARLIER_PART);
+            config = config.carry_over(EARLIER_PART);
         }
         let slack = bounds.repeat_slack.map(|slack| slack * SLACK_PART);
         if let Some(slack) = slack {
@@ -216,13 +218,13 @@
         }
         Serve {
             bulkhead: RefCell::new(Bulkhead::new()),
-            repeats: RefCell::new(Repeats::new(config)),
+            repeats: RefCell::new(RetryBudget::new(config)),
             slack,
             jobs: RefCell::new(Map::default()),
             runs: RefCell::new(Map::default()),
             isolation: RefCell::new(Isolation::new()),
             detector: Detector::default(),
-            belief: RefCell::new(Belief::new()),
+            belief: RefCell::new(Tracker::new()),
             suspended: Cell::new(false),
             retired: Cell::new(false),
             last: Cell::new(0),
@@ -254,7 +256,7 @@
 
     /// True if the instance has not been heard of at all.
     pub fn is_unknown(&self) -> bool {
-        self.belief.borrow().known().is_none()
+        self.belief.borrow().current().is_none()
     }
 
     /// True if the instance was heard of and is leaving or gone.
@@ -272,7 +274,7 @@
     pub fn parent(&self, now: Millis, attempt: &str) -> Option<Parent> {
         let parent = header::parent(attempt)?;
         let parent = self.runs.borrow().get(parent)?.parent;
-        self.repeats.borrow_mut().call(now);
+        self.repeats.borrow_mut().record_call(now);
         Some(parent)
     }
 
@@ -288,7 +290,9 @@
         match ended {
             Called::Answered(footprint) => run.footprint.merge(footprint),
             // A sibling would make the same call, and lose more instances.
-            Called::TurnedAway | Called::Fatal => run.footprint.starve(),
+            Called::TurnedAway | Called::Fatal => {
+                run.footprint.mark_refused_call()
+            }
         }
     }
 
@@ -334,12 +338,17 @@
         let job = Job::new(now, call, sink);
         self.jobs.borrow_mut().insert(id, job);
         if let Standing::Suspect(crashes) = standing {
-            let turn = self.isolation.borrow_mut().enter(id, crashes);
+            let turn = self.isolation.borrow_mut().admit(id, crashes);
             match turn {
-                Turn::Now => {}
-                Turn::Later => return,
-                Turn::Never => {
-                    return self.drop_job(state, id, Kind::Queued, HOLD);
+                Admission::Admitted => {}
+                Admission::Queued => return,
+                Admission::Rejected => {
+                    return self.drop_job(
+                        state,
+                        id,
+                        Kind::Queued,
+                        SUSPECT_RETRY_AFTER,
+                    );
                 }
             }
         }
@@ -359,8 +368,8 @@
         match offer {
             Offer::Run => self.run(state, id),
             Offer::Wait => self.waiting.notify_one(),
-            Offer::Full { retry } => {
-                self.drop_job(state, id, Kind::Queued, retry);
+            Offer::Full { retry_after } => {
+                self.drop_job(state, id, Kind::Queued, retry_after);
             }
             Offer::Closed => {
                 self.drop_job(state, id, Kind::Leaving, Millis(0));
@@ -375,14 +384,14 @@
         id: CallId,
     ) -> Option<Job> {
         let job = self.jobs.borrow_mut().remove(&id)?;
-        self.isolation.borrow_mut().leave(id);
+        self.isolation.borrow_mut().release(id);
         self.advance_suspects(state);
         Some(job)
     }
 
     fn advance_suspects(&self, state: &Rc<State>) {
         loop {
-            let next = self.isolation.borrow_mut().advance();
+            let next = self.isolation.borrow_mut().admit_next();
             match next {
                 Some(next) => self.offer(state, next),
                 None => return,
@@ -395,12 +404,12 @@
     fn count(&self, now: Millis, call: &Call) -> bool {
         let mut repeats = self.repeats.borrow_mut();
         if call.repeat {
-            let lot = Lot::of(header::root(&call.attempt));
-            let asker = Asker { rank: call.priority, lot };
-            return repeats.try_repeat_for(now, asker);
+            let sample_key = SampleKey::of(header::root(&call.attempt));
+            let priority = Priority { rank: call.priority, sample_key };
+            return repeats.try_retry_for(now, priority);
         }
         if !call.moved && !call.echo {
-            repeats.first(now);
+            repeats.record_request(now);
         }
         true
     }
@@ -445,7 +454,7 @@
             }
         }
         if !self.bulkhead.borrow().is_open() {
-            let suspects = self.isolation.borrow_mut().clear();
+            let suspects = self.isolation.borrow_mut().drain();
             for id in suspects {
                 self.drop_job(state, id, Kind::Leaving, Millis(0));
             }
