--- a/crates/walnutmoor/src/mesh/connection.rs
+++ b/crates/walnutmoor/src/mesh/connection.rs
@@ -1,11 +1,11 @@
 /*!
-One caller's connection: requests are read ahead, served at once and answered
-in order.
+A caller's HTTP/1.1 connection: reads pipelined requests, serves them
+concurrently and writes the responses in order.
 
-What may be under way beside what is decided by
-[`Pipeline`](walnutmoor_core::pipeline::Pipeline); this module moves the bytes.
-A caller that leaves ends all of its requests, as dropping them does. One that
-does not read its answers is read no further.
+[`Pipeline`](walnutmoor_core::pipeline::Pipeline) decides which requests may
+be in flight together. If the caller disconnects, all of its requests are
+dropped and thereby canceled. If it does not read its responses, no further
+requests are read.
 */
 
 use std::{io, pin::pin, rc::Rc, time::Duration};
@@ -25,69 +25,70 @@
 use walnutmoor_core::{error::Kind, pipeline::Pipeline, time::Millis};
 
 use super::{
-    ingress::{self, Arrival, Stay, Turned},
+    ingress::{self, Arrival, InFlight, Rejection},
     output::Output,
     state::State,
     wire::Answer,
 };
 use crate::http1::{self, Decoder, Event};
 
-/// Bytes read at a time. Heads take some hundred; a longer body is read in
-/// several turns.
-const READ: usize = 8 << 10;
+/// The number of bytes reserved for one read.
+const READ_BYTES: usize = 8 << 10;
 
-/// Bytes that are read ahead on all connections together, as a part of the
-/// node's memory. Past it only connections with nothing under way are read.
-const AHEAD_PART: f64 = 0.05;
+/// The fraction of the node's memory that bytes read ahead on all connections
+/// may take. Above it, only connections without requests in flight are read.
+const MAX_READ_AHEAD_FRACTION: f64 = 0.05;
 
-/// Bytes that wait to be written on a connection before it is read no
-/// further: a caller that does not read what it asked for gets no more.
-const UNWRITTEN_MAX: usize = 256 << 10;
+/// The number of unwritten response bytes at which a connection stops
+/// decoding new requests.
+const MAX_UNWRITTEN_BYTES: usize = 256 << 10;
 
-/// How long a connection that is to close is read after its last answer. A
-/// close with unread bytes would reset it and might take the answer along.
-const LINGER: Duration = Duration::from_secs(1);
+/// How long a closing connection is still read after its last response.
+/// Closing a socket with unread bytes resets it, and the caller might lose
+/// the response.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a connection may wait for a request where the operator sets no
-/// limit yet.
-const IDLE: Duration = Duration::from_secs(60);
+/// How long a connection may be idle until the desired state sets a limit.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Added to the operator's limits, as callers stay within them by their own
+/// Added to the configured limits, because callers apply them by their own
 /// clocks.
-const IDLE_MARGIN: Millis = Millis(1_000);
+const IDLE_TIMEOUT_MARGIN: Millis = Millis(1_000);
 
-/// A request that has its answer. It counts as under way until the answer
-/// is among those to be written.
-struct Done {
+/// A request with its response. It counts as in flight until the response is
+/// queued for writing.
+struct Completed {
     answer: Answer,
     method: Method,
-    _stay: Stay,
+    _in_flight: InFlight,
 }
 
-/// What is being read.
-enum Reading {
-    /// A head.
+/// The part of a request that is read next.
+enum ReadState {
+    /// The head.
     Head,
-    /// The body of a request that was let in so far.
+    /// The body of a request whose head was accepted.
     Body(Box<Arrival>),
-    /// Nothing: a whole request waits for those ahead of it.
-    Whole(Box<Arrival>),
-    /// The body of a request that was turned away; so many bytes may follow.
-    Rest(usize),
+    /// Nothing: a complete request waits until it may start.
+    Blocked(Box<Arrival>),
+    /// The body of a rejected request, to be discarded. Holds the number of
+    /// bytes that may still follow.
+    Discard(usize),
 }
 
 struct Connection {
     state: Rc<State>,
     decoder: Decoder,
-    reading: Reading,
+    reading: ReadState,
     pipeline: Pipeline,
-    pending: FuturesOrdered<LocalBoxFuture<'static, Done>>,
+    pending: FuturesOrdered<LocalBoxFuture<'static, Completed>>,
     output: Output,
-    /// The bytes of this connection among those read ahead by the node.
-    ahead: usize,
-    ahead_max: usize,
-    /// When something last came to its end: a head, data, a write.
-    moved: Millis,
+    /// The bytes read ahead on this connection, as counted in the total of
+    /// the node.
+    read_ahead: usize,
+    max_read_ahead: usize,
+    /// When something was last decoded, answered or written.
+    last_progress: Millis,
 }
 
 impl Drop for Connection {
@@ -95,74 +96,75 @@
         let open = &self.state.connections;
         open.set(open.get() - 1);
         let all = &self.state.ahead;
-        all.set(all.get() - self.ahead);
+        all.set(all.get() - self.read_ahead);
     }
 }
 
 /// Serves a connection until either side closes it.
 pub async fn serve(state: Rc<State>, mut stream: TcpStream) {
-    // Only a delay would follow.
+    // A failure only costs latency.
     let _ = stream.set_nodelay(true);
     let mut connection = Connection::new(state);
-    // A caller that breaks off is no fault of this node.
+    // A connection that the caller breaks is not an error of this node.
     if connection.run(&mut stream).await.is_ok() {
         linger(&mut stream).await;
     }
 }
 
+/// Closes the sending side and discards what the caller still sends.
 async fn linger(stream: &mut TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
     }
-    let mut sink = [0; 1_024];
-    let drain = async {
-        while stream.read(&mut sink).await.is_ok_and(|count| count > 0) {}
+    let mut buffer = [0; 1_024];
+    let discard = async {
+        while stream.read(&mut buffer).await.is_ok_and(|count| count > 0) {}
     };
-    // What is left after that is reset.
-    let _ = timeout(LINGER, drain).await;
+    // After the timeout, unread bytes reset the connection.
+    let _ = timeout(LINGER_TIMEOUT, discard).await;
 }
 
-/// How long a connection may stand still.
-fn idle(state: &State) -> Duration {
-    state.table().map_or(IDLE, |table| {
+/// How long a connection may make no progress.
+fn idle_timeout(state: &State) -> Duration {
+    state.table().map_or(DEFAULT_IDLE_TIMEOUT, |table| {
         let longest = table.limits.idle_timeout.max(table.limits.head_timeout);
-        Duration::from_millis((longest + IDLE_MARGIN).0)
+        Duration::from_millis((longest + IDLE_TIMEOUT_MARGIN).0)
     })
 }
 
 impl Connection {
     fn new(state: Rc<State>) -> Connection {
         let limits = state.table().map(|table| table.limits);
-        let head = limits.unwrap_or_default().max_head_bytes;
+        let max_head_bytes = limits.unwrap_or_default().max_head_bytes;
         let settings = &state.settings.read_ahead;
         let open = &state.connections;
         open.set(open.get() + 1);
         Connection {
-            decoder: Decoder::new(head),
-            reading: Reading::Head,
+            decoder: Decoder::new(max_head_bytes),
+            reading: ReadState::Head,
             pipeline: Pipeline::new(settings.requests),
             pending: FuturesOrdered::new(),
             output: Output::default(),
-            ahead: 0,
-            ahead_max: settings.bytes.max(head),
-            moved: state.now(),
+            read_ahead: 0,
+            max_read_ahead: settings.bytes.max(max_head_bytes),
+            last_progress: state.now(),
             state,
         }
     }
 
     async fn run(&mut self, stream: &mut TcpStream) -> io::Result<()> {
-        let idle = idle(&self.state);
+        let idle_timeout = idle_timeout(&self.state);
         let (mut reader, mut writer) = stream.split();
-        let mut timer = pin!(sleep(idle));
+        let mut timer = pin!(sleep(idle_timeout));
         loop {
             self.advance();
             if self.pipeline.is_drained() && !self.output.has_remaining() {
                 return Ok(());
             }
-            let reads = self.wants_bytes();
+            let may_read = self.may_read();
             let buffer = self.decoder.buffer();
-            if reads && buffer.capacity() - buffer.len() < READ / 2 {
-                buffer.reserve(READ);
+            if may_read && buffer.capacity() - buffer.len() < READ_BYTES / 2 {
+                buffer.reserve(READ_BYTES);
             }
             tokio::select! {
                 biased;
@@ -170,186 +172,199 @@
                     if self.output.has_remaining() =>
                 {
                     written?;
-                    self.moved = self.state.now();
+                    self.last_progress = self.state.now();
                 }
-                done = self.pending.next(), if !self.pending.is_empty() => {
-                    if let Some(done) = done {
-                        self.answer(done);
+                completed = self.pending.next(),
+                    if !self.pending.is_empty() =>
+                {
+                    if let Some(completed) = completed {
+                        self.respond(completed);
                     }
                 }
-                read = reader.read_buf(buffer), if reads => {
+                read = reader.read_buf(buffer), if may_read => {
                     if read? == 0 {
                         return Err(io::ErrorKind::UnexpectedEof.into());
                     }
                 }
                 () = &mut timer => {
-                    let stood = self.state.now().since(self.moved);
-                    let stood = Duration::from_millis(stood.0);
-                    let waits = !self.pending.is_empty();
-                    if stood >= idle && !waits {
+                    let stalled = self.state.now().since(self.last_progress);
+                    let stalled = Duration::from_millis(stalled.0);
+                    let has_pending = !self.pending.is_empty();
+                    if stalled >= idle_timeout && !has_pending {
                         return Err(io::ErrorKind::TimedOut.into());
                     }
-                    let left = idle.saturating_sub(stood).max(idle / 4);
-                    let next = tokio::time::Instant::now() + left;
-                    timer.as_mut().reset(next);
+                    let left = idle_timeout
+                        .saturating_sub(stalled)
+                        .max(idle_timeout / 4);
+                    let next_check = tokio::time::Instant::now() + left;
+                    timer.as_mut().reset(next_check);
                 }
             }
-            self.count_ahead();
+            self.update_read_ahead();
         }
     }
 
-    /// True if bytes are to be read. With requests under way this is also
-    /// how a caller that leaves is noticed.
-    fn wants_bytes(&self) -> bool {
-        if self.decoder.buffered() >= self.ahead_max {
+    /// True if the connection may be read. Reading while requests are in
+    /// flight also detects that the caller has disconnected.
+    fn may_read(&self) -> bool {
+        if self.decoder.buffered() >= self.max_read_ahead {
             return false;
         }
         let memory = (self.state.settings.memory << 20) as f64;
-        let is_over = self.state.ahead.get() as f64 > memory * AHEAD_PART;
+        let is_over =
+            self.state.ahead.get() as f64 > memory * MAX_READ_AHEAD_FRACTION;
         !is_over || self.pending.is_empty()
     }
 
-    fn count_ahead(&mut self) {
+    /// Updates the total of the node by the bytes buffered here.
+    fn update_read_ahead(&mut self) {
         let buffered = self.decoder.buffered();
         let all = &self.state.ahead;
-        all.set(all.get() - self.ahead + buffered);
-        self.ahead = buffered;
+        all.set(all.get() - self.read_ahead + buffered);
+        self.read_ahead = buffered;
     }
 
-    /// Decodes and begins requests as far as that is possible.
+    /// Decodes and starts as many requests as possible.
     fn advance(&mut self) {
         while !self.pipeline.is_draining() && self.step() {}
-        let ahead = !self.pending.is_empty();
-        if let Reading::Body(arrival) = &mut self.reading
-            && !ahead
-            && arrival.must_be_told()
+        let has_pending = !self.pending.is_empty();
+        if let ReadState::Body(arrival) = &mut self.reading
+            && !has_pending
+            && arrival.take_expect_continue()
         {
             self.output.push(Bytes::from_static(http1::CONTINUE));
         }
     }
 
-    /// Does one thing; false if there is none to do.
+    /// Starts a request or decodes an event. Returns false if neither is
+    /// possible.
     fn step(&mut self) -> bool {
-        match std::mem::replace(&mut self.reading, Reading::Head) {
-            Reading::Whole(arrival) => self.begin(arrival),
+        match std::mem::replace(&mut self.reading, ReadState::Head) {
+            ReadState::Blocked(arrival) => self.begin(arrival),
             reading => {
                 self.reading = reading;
-                self.is_open() && self.decode()
+                self.may_decode() && self.decode()
             }
         }
     }
 
-    /// True if more requests may be taken.
-    fn is_open(&self) -> bool {
+    /// True if the next event may be decoded.
+    fn may_decode(&self) -> bool {
         let may_begin = self.pipeline.may_begin(true);
-        let in_body = !matches!(self.reading, Reading::Head);
+        let in_body = !matches!(self.reading, ReadState::Head);
         let unwritten = self.output.remaining();
-        (may_begin || in_body) && unwritten < UNWRITTEN_MAX
+        (may_begin || in_body) && unwritten < MAX_UNWRITTEN_BYTES
     }
 
     fn decode(&mut self) -> bool {
         match self.decoder.next() {
             Ok(None) => return false,
-            Ok(Some(event)) => self.take(event),
-            Err(error) => self.break_off(error),
+            Ok(Some(event)) => self.handle_event(event),
+            Err(error) => self.reject_unreadable(error),
         }
-        self.moved = self.state.now();
+        self.last_progress = self.state.now();
         true
     }
 
-    fn take(&mut self, event: Event) {
-        let reading = std::mem::replace(&mut self.reading, Reading::Head);
+    fn handle_event(&mut self, event: Event) {
+        let reading = std::mem::replace(&mut self.reading, ReadState::Head);
         self.reading = match (reading, event) {
             (_, Event::Head(head)) => match Arrival::open(&self.state, head) {
-                Ok(arrival) => Reading::Body(Box::new(arrival)),
-                Err(turned) => self.turn_away(*turned),
+                Ok(arrival) => ReadState::Body(Box::new(arrival)),
+                Err(rejection) => self.reject(*rejection),
             },
-            (Reading::Body(mut arrival), Event::Data(data)) => {
-                match arrival.extend(&self.state, &data) {
-                    Ok(()) => Reading::Body(arrival),
+            (ReadState::Body(mut arrival), Event::Data(data)) => {
+                match arrival.push_body(&self.state, &data) {
+                    Ok(()) => ReadState::Body(arrival),
                     Err(kind) => {
-                        let turned = arrival.turn_away(&self.state, kind);
-                        self.turn_away(turned)
+                        let rejection = arrival.reject(&self.state, kind);
+                        self.reject(rejection)
                     }
                 }
             }
-            (Reading::Body(arrival), Event::End) => Reading::Whole(arrival),
-            (Reading::Rest(left), Event::Data(data)) => {
+            (ReadState::Body(arrival), Event::End) => {
+                ReadState::Blocked(arrival)
+            }
+            (ReadState::Discard(left), Event::Data(data)) => {
                 if data.len() > left {
-                    self.stop();
+                    self.drain();
                 }
-                Reading::Rest(left.saturating_sub(data.len()))
+                ReadState::Discard(left.saturating_sub(data.len()))
             }
-            (_, _) => Reading::Head,
+            (_, _) => ReadState::Head,
         };
     }
 
-    /// Answers a request that was turned away before it was whole, and
-    /// passes over its body unless that is long or may never come.
-    fn turn_away(&mut self, turned: Turned) -> Reading {
-        let Turned { answer, method, rest, stay } = turned;
-        let done = Done { answer, method, _stay: stay };
+    /// Answers a request that was rejected before it was read completely.
+    /// Its body is discarded, or the connection drains if the rejection does
+    /// not allow that.
+    fn reject(&mut self, rejection: Rejection) -> ReadState {
+        let Rejection { answer, method, max_discard, in_flight } = rejection;
+        let completed = Completed { answer, method, _in_flight: in_flight };
         self.pipeline.begin(true);
-        self.pending.push_back(future::ready(done).boxed_local());
-        match rest {
-            Some(rest) => Reading::Rest(rest),
+        self.pending.push_back(future::ready(completed).boxed_local());
+        match max_discard {
+            Some(max) => ReadState::Discard(max),
             None => {
-                self.stop();
-                Reading::Head
+                self.drain();
+                ReadState::Head
             }
         }
     }
 
-    /// Answers bytes that are no request. Nobody can tell where the next
-    /// one would begin.
-    fn break_off(&mut self, error: http1::Error) {
+    /// Answers bytes that are not a valid request. The connection drains,
+    /// since the start of the next request is unknown.
+    fn reject_unreadable(&mut self, error: http1::Error) {
         let kind = match error {
             http1::Error::Malformed => Kind::Malformed,
             http1::Error::HeadTooLarge => Kind::HeadTooLarge,
         };
-        let turned = ingress::unreadable(&self.state, kind);
-        self.reading = self.turn_away(turned);
+        let rejection = ingress::reject_unreadable(&self.state, kind);
+        self.reading = self.reject(rejection);
     }
 
-    /// Begins a whole request, if it may; false if it has to wait.
+    /// Starts a complete request. Returns false if it has to wait.
     fn begin(&mut self, arrival: Box<Arrival>) -> bool {
-        let again = arrival.is_repeatable();
-        if !self.pipeline.may_begin(again) {
-            self.reading = Reading::Whole(arrival);
+        let idempotent = arrival.is_idempotent();
+        if !self.pipeline.may_begin(idempotent) {
+            self.reading = ReadState::Blocked(arrival);
             return false;
         }
-        self.pipeline.begin(again);
+        self.pipeline.begin(idempotent);
         if arrival.closes() {
             self.pipeline.drain();
         }
         let state = self.state.clone();
         let method = arrival.method().clone();
         let serve = async move {
-            let (answer, stay) = arrival.serve(&state).await;
-            Done { answer, method, _stay: stay }
+            let (answer, in_flight) = arrival.serve(&state).await;
+            Completed { answer, method, _in_flight: in_flight }
         };
         self.pending.push_back(serve.boxed_local());
         true
     }
 
-    fn answer(&mut self, done: Done) {
-        if ingress::is_crowded(&self.state) {
-            self.stop();
+    /// Queues a response for writing.
+    fn respond(&mut self, completed: Completed) {
+        if ingress::should_close_connections(&self.state) {
+            self.drain();
         }
         let closes = self.pipeline.end();
-        let (head, body) = http1::encode(done.answer, &done.method, closes);
-        self.moved = self.state.now();
+        let (head, body) =
+            http1::encode(completed.answer, &completed.method, closes);
+        self.last_progress = self.state.now();
         self.output.push(head);
         self.output.push(body);
     }
 
-    /// Begins nothing more. What is partly read counts as not read: its
-    /// caller sends it again on another connection.
-    fn stop(&mut self) {
+    /// Starts no more requests. A request that was not started is abandoned;
+    /// its caller resends it on another connection.
+    fn drain(&mut self) {
         self.pipeline.drain();
-        let reading = std::mem::replace(&mut self.reading, Reading::Head);
-        if let Reading::Body(arrival) | Reading::Whole(arrival) = reading {
-            arrival.leave_unread();
+        let reading = std::mem::replace(&mut self.reading, ReadState::Head);
+        if let ReadState::Body(arrival) | ReadState::Blocked(arrival) = reading
+        {
+            arrival.abandon();
         }
     }
 }
--- a/crates/walnutmoor/src/mesh/desired.rs
+++ b/crates/walnutmoor/src/mesh/desired.rs
@@ -268,7 +268,7 @@
     pub fn is_watcher(&self) -> bool {
         let zone = &self.settings.zone;
         let links = self.links();
-        let others = links.iter().filter_map(|link| link.watcher(zone));
+        let others = links.iter().filter_map(|link| link.watcher_rank(zone));
         let me = watcher::Rank::of(self.me);
         watcher::should_watch(me, self.is_able(), others)
     }
--- a/crates/walnutmoor/src/mesh/dispatch.rs
+++ b/crates/walnutmoor/src/mesh/dispatch.rs
@@ -1,11 +1,11 @@
 /*!
-Finds the instance for a request, and another one if need be.
+Dispatches a request to an instance of its service, and retries it at others.
 
-A request that no instance has got moves on at no cost. One that an instance
-has got goes on only within the allowance of the instance that gets it next,
-and if it may have run only if it is idempotent.
-`walnutmoor_core::retry_state` has the bounds. What was turned away everywhere
-is refused with the word that it did not run; what may have run is not.
+A request that has reached no instance is sent elsewhere freely. One that has
+reached an instance is retried only within the retry budget of the next
+instance, and only if it is idempotent or certainly did not run.
+`walnutmoor_core::retry_state` applies the limits. A request that ran nowhere
+is refused with a response that says so; one that may have run is failed.
 */
 
 use std::{rc::Rc, sync::Arc, time::Duration};
@@ -31,196 +31,209 @@
     state::State,
 };
 
-/// When a caller is told to come back if no instance is known to take work:
-/// links and heartbeats come back within a second or so.
-const RETRY_NOBODY: Millis = Millis(600);
+/// The `Retry-After` of requests for which no instance accepts work.
+const NO_INSTANCE_RETRY_AFTER: Millis = Millis(600);
 
-/// A request on its way.
+/// A request to be dispatched.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its route.
+    /// The route.
     pub route: Arc<Route>,
-    /// Its rank, as `bulkhead::urgency` gives it.
+    /// The rank, as computed by `bulkhead::urgency`.
     pub urgency: u8,
-    /// True if the instance beside this node made it for another request.
-    pub inner: bool,
-    /// True if a run that is itself a repeat has made it.
-    pub echo: bool,
-    /// The service that it goes to.
+    /// True if this is a nested call of a run of the local instance.
+    pub is_nested: bool,
+    /// True if the run that made it is a retry or descends from one.
+    pub parent_is_retry: bool,
+    /// The service that is to run it.
     pub service: Service,
-    /// The client account that it is from; none if an instance made it, or
-    /// if it needs none.
+    /// The client account of the caller; `None` for nested calls and routes
+    /// without accounts.
     pub account: Option<Account>,
-    /// The caller's id of the attempt.
+    /// The attempt id, as set by the caller.
     pub attempt: String,
-    /// Its content, the same for all attempts.
+    /// The fingerprint of the content; the same for all attempts.
     pub fingerprint: Fingerprint,
     /// The method.
     pub method: String,
-    /// Path and query.
+    /// The path and query.
     pub path: String,
-    /// The headers that are passed on.
+    /// The headers to forward.
     pub headers: Headers,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// When its final answer is due: the route's timeout, or the end of the
-    /// caller's time.
+    /// When the response is due: after the route's timeout or at the
+    /// caller's deadline, whichever is earlier.
     pub deadline: Millis,
-    /// The end of the caller's time.
+    /// When the caller stops waiting.
     pub caller_deadline: Millis,
 }
 
-/// A request that has come to its end.
+/// A finished request.
 #[derive(Clone, Debug)]
 pub struct Finished {
-    /// How.
+    /// The result.
     pub end: End,
     /// The nodes that it was sent to, in order.
     pub tried: Vec<NodeId>,
-    /// How often an instance has run it, or may have.
+    /// How often instances ran it, or may have.
     pub runs: u32,
 }
 
-/// The end of a request.
+/// The result of a dispatched request.
 #[derive(Clone, Debug)]
 pub enum End {
     /// An instance answered.
     Answered {
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// The headers that are passed on.
+        /// The headers to forward.
         headers: Headers,
-        /// The whole body.
+        /// The complete body.
         body: Bytes,
-        /// What it took of each service.
+        /// The work that it caused at each service.
         footprint: Footprint,
     },
-    /// It did not run.
+    /// It did not run; retry after the given time.
     Refused(Kind, Millis),
     /// It may have run.
     Failed(Kind),
 }
 
-/// A request under way at one instance. Dropped early, it is canceled there.
-struct Flight<'a> {
+/// A request sent to one node. It is canceled there if dropped before the
+/// reply.
+struct Attempt<'a> {
     state: &'a Rc<State>,
     node: NodeId,
-    way: Way,
-    landed: bool,
+    handle: Handle,
+    is_finished: bool,
 }
 
-enum Way {
+/// Identifies a submitted call, so that it can be canceled.
+enum Handle {
     Local(CallId),
     Remote(Rc<Link>, CallId),
 }
 
-impl Drop for Flight<'_> {
+impl Drop for Attempt<'_> {
     fn drop(&mut self) {
-        if self.landed {
+        if self.is_finished {
             return;
         }
         self.state.balance.borrow_mut().done(self.node, None);
-        match &self.way {
-            Way::Local(id) => self.state.serve.cancel(self.state, *id),
-            Way::Remote(link, id) => link.cancel(*id),
+        match &self.handle {
+            Handle::Local(id) => self.state.serve.cancel(self.state, *id),
+            Handle::Remote(link, id) => link.cancel(*id),
         }
     }
 }
 
-/// Brings a request to its end.
+/// Sends a request to instances until it has a result or its deadline has
+/// passed.
 pub async fn run(state: &Rc<State>, request: &Request) -> Finished {
-    let mut course = Course::new(&request.route);
-    let end = follow(state, request, &mut course).await;
-    let runs = course.way.runs();
-    Finished { end, tried: course.way.tried().to_vec(), runs }
+    let mut progress = Progress::new(&request.route);
+    let end = send_with_retries(state, request, &mut progress).await;
+    let runs = progress.retry_state.runs();
+    Finished { end, tried: progress.retry_state.tried().to_vec(), runs }
 }
 
-async fn follow(
+async fn send_with_retries(
     state: &Rc<State>,
     request: &Request,
-    course: &mut Course,
+    progress: &mut Progress,
 ) -> End {
     loop {
         let now = state.now();
         if now >= request.deadline {
-            return course.give_up(Kind::Timeout);
+            return progress.give_up(Kind::Timeout);
         }
-        let node = match choose(state, request, course) {
+        let node = match choose(state, request, progress) {
             Next::Send(node) => node,
-            Next::Nobody => return course.nobody(),
-            Next::Hold => return course.hold(),
-            Next::Bar(left) => return course.bar(left),
+            Next::NoInstance => return progress.refuse_no_instance(),
+            Next::Defer => return progress.refuse_suspect(),
+            Next::Barred(left) => return progress.refuse_barred(left),
         };
-        let pause = course.way.backoff(node);
-        if pause > Millis(0) {
+        let backoff = progress.retry_state.backoff(node);
+        if backoff > Millis(0) {
             let left = request.deadline.since(now);
-            sleep(Duration::from_millis(pause.min(left).0)).await;
+            sleep(Duration::from_millis(backoff.min(left).0)).await;
         }
-        let Some((flight, receiver)) = send(state, request, node, course)
+        let Some((attempt, receiver)) = send(state, request, node, progress)
         else {
-            course.way.exclude(node);
+            progress.retry_state.exclude(node);
             continue;
         };
-        let Some(reply) = land(state, request, flight, receiver).await else {
-            course.way.record_timeout(node);
-            return course.give_up(Kind::Timeout);
+        let Some(reply) = await_reply(state, request, attempt, receiver).await
+        else {
+            progress.retry_state.record_timeout(node);
+            return progress.give_up(Kind::Timeout);
         };
-        if let Some(end) = course.take(state, request, node, reply) {
+        if let Some(end) = progress.handle_reply(state, request, node, reply) {
             return end;
         }
     }
 }
 
-/// Where a request goes next.
+/// The next step of a request.
 enum Next {
+    /// Send it to this node.
     Send(NodeId),
-    Nobody,
-    /// Nowhere for now: it is likely to end the last instance.
-    Hold,
-    /// Nowhere for so long: it ends what runs it.
-    Bar(Millis),
+    /// No eligible instance is left.
+    NoInstance,
+    /// It is suspected of crashing instances and may not run for now.
+    Defer,
+    /// It has crashed instances and is barred for this long.
+    Barred(Millis),
 }
 
-fn choose(state: &State, request: &Request, course: &Course) -> Next {
+fn choose(state: &State, request: &Request, progress: &Progress) -> Next {
     let choice = match state.standing(request.fingerprint) {
-        Standing::Barred(left) => return Next::Bar(left),
+        Standing::Barred(left) => return Next::Barred(left),
         Standing::Suspect(crashes) => {
-            return place_suspect(state, request, course, crashes);
+            return choose_for_suspect(state, request, progress, crashes);
         }
-        Standing::Clear => choose_any(state, request, course),
+        Standing::Clear => choose_balanced(state, request, progress),
     };
     match choice {
         Choice::Send(node) => Next::Send(node),
-        Choice::None => Next::Nobody,
+        Choice::None => Next::NoInstance,
     }
 }
 
-/// Chooses for a request under which instances have ended.
-fn place_suspect(
+/// Chooses an instance for a request that is suspected of crashing instances.
+fn choose_for_suspect(
     state: &State,
     request: &Request,
-    course: &Course,
+    progress: &Progress,
     crashes: u32,
 ) -> Next {
-    // Its caller is not kept waiting for the third crash, and an attempt
-    // that has met two is most likely to bring it about.
-    if crashes >= poison::MIN_CRASHES_TO_SHARE && course.way.may_have_run() {
-        return Next::Hold;
+    // With several crashes recorded, a request that may already have run
+    // would most likely crash another instance.
+    if crashes >= poison::MIN_CRASHES_TO_SHARE
+        && progress.retry_state.may_have_run()
+    {
+        return Next::Defer;
     }
     let balance = state.balance.borrow();
-    let scope = course.way.scope();
+    let scope = progress.retry_state.scope();
     let usable = balance.usable(state.now(), &request.service, &scope);
-    let known = balance.count(&request.service);
+    let instance_count = balance.count(&request.service);
     if usable.is_empty() {
-        return Next::Nobody;
+        return Next::NoInstance;
     }
-    match poison::place(request.fingerprint, crashes, &usable, known) {
+    match poison::place(request.fingerprint, crashes, &usable, instance_count)
+    {
         Placement::At(node) => Next::Send(node),
-        Placement::Defer => Next::Hold,
+        Placement::Defer => Next::Defer,
     }
 }
 
-fn choose_any(state: &State, request: &Request, course: &Course) -> Choice {
+/// Lets the balancer choose among all instances of the service.
+fn choose_balanced(
+    state: &State,
+    request: &Request,
+    progress: &Progress,
+) -> Choice {
     let pick = Pick {
         service: &request.service,
         priority: request.urgency,
@@ -229,40 +242,43 @@
     };
     let now = state.now();
     let time_left = Some(request.deadline.since(now));
-    let scope = retry_state::Scope { time_left, ..course.way.scope() };
+    let scope =
+        retry_state::Scope { time_left, ..progress.retry_state.scope() };
     state.balance.borrow_mut().choose_within(now, pick, &scope)
 }
 
-/// What has become of a request so far.
-struct Course {
-    way: retry_state::RetryState,
-    /// The last answer that an instance failed it with.
-    failed: Option<Reply>,
-    /// Why it was turned away last, and when there may be room.
-    refusal: Option<(Kind, Millis)>,
+/// The attempts of a request so far.
+struct Progress {
+    retry_state: retry_state::RetryState,
+    /// The last reply with which an instance failed it.
+    failed_reply: Option<Reply>,
+    /// The reason of the last rejection, and when to retry.
+    rejection: Option<(Kind, Millis)>,
 }
 
-impl Course {
-    fn new(route: &Route) -> Course {
-        let again = route.effect == Effect::Idempotent;
-        let way = retry_state::RetryState::new(route.attempts, again);
-        Course { way, failed: None, refusal: None }
+impl Progress {
+    fn new(route: &Route) -> Progress {
+        let idempotent = route.effect == Effect::Idempotent;
+        let retry_state =
+            retry_state::RetryState::new(route.attempts, idempotent);
+        Progress { retry_state, failed_reply: None, rejection: None }
     }
 
-    /// Takes a reply; `None` if an instance is to be asked again.
-    fn take(
+    /// Records a reply. Returns the result of the request, or `None` if it is
+    /// to be retried.
+    fn handle_reply(
         &mut self,
         state: &Rc<State>,
         request: &Request,
         node: NodeId,
         reply: Reply,
     ) -> Option<End> {
-        let word = judge(state, node, &reply);
+        let outcome = classify_reply(state, node, &reply);
         let (why, kind) = match &reply {
             Reply::Answered { .. } => ("the instance failed", Kind::Broken),
             Reply::NotRun { kind, retry, .. } => {
-                self.refusal = Some((*kind, *retry));
-                ("turned away", *kind)
+                self.rejection = Some((*kind, *retry));
+                ("rejected", *kind)
             }
             Reply::Unknown(kind) => (kind.as_str(), *kind),
             Reply::Crashed(crash) => {
@@ -270,24 +286,30 @@
                 ("the instance crashed", Kind::Broken)
             }
         };
-        let step = self.way.record(node, word);
-        if word == Outcome::Served {
+        let decision = self.retry_state.record(node, outcome);
+        if outcome == Outcome::Served {
             return Some(answered(reply));
         }
-        if word == Outcome::Failed {
-            self.failed = Some(reply);
+        if outcome == Outcome::Failed {
+            self.failed_reply = Some(reply);
         }
-        // What one node refuses for its content, its siblings refuse as well.
-        if step == Decision::Stop || kind == Kind::Poisoned {
+        // All nodes reject a request that crashes instances.
+        if decision == Decision::Stop || kind == Kind::Poisoned {
             return Some(self.give_up(kind));
         }
-        if word != Outcome::NodeRejected {
-            self.note(state, request, node, why);
+        if outcome != Outcome::NodeRejected {
+            self.log_retry(state, request, node, why);
         }
         None
     }
 
-    fn note(&self, state: &State, request: &Request, node: NodeId, why: &str) {
+    fn log_retry(
+        &self,
+        state: &State,
+        request: &Request,
+        node: NodeId,
+        why: &str,
+    ) {
         let now = state.now();
         if !state.journal.has_room(now, Event::Retry) {
             return;
@@ -296,56 +318,63 @@
             ("from", node.to_string().into()),
             ("why", why.into()),
             ("fingerprint", request.fingerprint.to_string().into()),
-            ("reached", self.way.arrivals().into()),
+            ("reached", self.retry_state.arrivals().into()),
         ];
         state.journal.request(now, Event::Retry, &request.attempt, &fields);
     }
 
-    /// No instance is left to be tried.
-    fn nobody(&mut self) -> End {
-        let (kind, _) =
-            self.refusal.unwrap_or((Kind::Unreachable, RETRY_NOBODY));
+    /// Ends a request for which no instance is left.
+    fn refuse_no_instance(&mut self) -> End {
+        let (kind, _) = self
+            .rejection
+            .unwrap_or((Kind::Unreachable, NO_INSTANCE_RETRY_AFTER));
         self.give_up(kind)
     }
 
-    /// It is not tried for now, as it would most likely end the last
-    /// instance.
-    fn hold(&mut self) -> End {
-        self.refusal = Some((Kind::Poisoned, poison::SUSPECT_RETRY_AFTER));
+    /// Ends a request that is suspected of crashing instances and may not run
+    /// for now.
+    fn refuse_suspect(&mut self) -> End {
+        self.rejection = Some((Kind::Poisoned, poison::SUSPECT_RETRY_AFTER));
         self.give_up(Kind::Poisoned)
     }
 
-    /// It is not tried for so long.
-    fn bar(&mut self, left: Millis) -> End {
-        self.refusal = Some((Kind::Poisoned, left));
+    /// Ends a request that is barred for the given time.
+    fn refuse_barred(&mut self, left: Millis) -> End {
+        self.rejection = Some((Kind::Poisoned, left));
         self.give_up(Kind::Poisoned)
     }
 
+    /// Ends the request without a successful reply: with the last failed one,
+    /// if any, and otherwise according to whether it may have run.
     fn give_up(&mut self, kind: Kind) -> End {
-        if let Some(reply) = self.failed.take() {
+        if let Some(reply) = self.failed_reply.take() {
             return answered(reply);
         }
-        if self.way.may_have_run() {
+        if self.retry_state.may_have_run() {
             let kind = match kind {
                 Kind::Timeout => Kind::Timeout,
                 _ => Kind::Broken,
             };
             return End::Failed(kind);
         }
-        let retry = self.refusal.map_or(RETRY_NOBODY, |(_, retry)| retry);
-        End::Refused(kind, retry)
+        let retry_after = self
+            .rejection
+            .map_or(NO_INSTANCE_RETRY_AFTER, |(_, retry_after)| retry_after);
+        End::Refused(kind, retry_after)
     }
 }
 
-/// What a reply says, and what it tells of the instance.
-fn judge(state: &State, node: NodeId, reply: &Reply) -> Outcome {
+/// Classifies a reply for the retry state, and records in the balancer whether
+/// the instance failed.
+fn classify_reply(state: &State, node: NodeId, reply: &Reply) -> Outcome {
     let mut balance = state.balance.borrow_mut();
-    let (word, failed) = match reply {
+    let (outcome, failed) = match reply {
         Reply::Answered { status, footprint, .. } => {
-            let starved = footprint.has_refused_call();
-            let word = Outcome::from_response(*status, starved);
-            // A run that lacked a call tells nothing of its instance.
-            (word, (!starved).then_some(word == Outcome::Failed))
+            let call_refused = footprint.has_refused_call();
+            let outcome = Outcome::from_response(*status, call_refused);
+            // A failure due to a refused nested call says nothing about the
+            // instance.
+            (outcome, (!call_refused).then_some(outcome == Outcome::Failed))
         }
         Reply::NotRun { reached: true, .. } => {
             (Outcome::InstanceRejected, Some(true))
@@ -354,18 +383,20 @@
             (Outcome::BudgetExhausted, None)
         }
         Reply::NotRun { .. } => (Outcome::NodeRejected, None),
-        // It tells of the request, not of the instance's next lifetime.
+        // A crash says nothing about the restarted instance.
         Reply::Crashed(_) => (Outcome::Unknown, None),
         Reply::Unknown(_) => (Outcome::Unknown, Some(true)),
     };
     balance.done(node, failed);
-    match word {
-        // Where all siblings fail as well, the cause lies deeper.
+    match outcome {
+        // If all siblings fail alike, the cause is elsewhere and a retry
+        // would not help.
         Outcome::Failed if !balance.retry_may_succeed(node) => Outcome::Served,
-        word => word,
+        outcome => outcome,
     }
 }
 
+/// The result of a request with this reply of an instance.
 fn answered(reply: Reply) -> End {
     match reply {
         Reply::Answered { status, headers, body, footprint } => {
@@ -375,13 +406,13 @@
     }
 }
 
-/// Hands a request to a node; `None` if nothing was sent.
+/// Sends a request to a node. Returns `None` if nothing was sent.
 fn send<'a>(
     state: &'a Rc<State>,
     request: &Request,
     node: NodeId,
-    course: &Course,
-) -> Option<(Flight<'a>, oneshot::Receiver<Reply>)> {
+    progress: &Progress,
+) -> Option<(Attempt<'a>, oneshot::Receiver<Reply>)> {
     let now = state.now();
     let call = Call {
         id: CallId(0),
@@ -394,43 +425,43 @@
         effect: request.route.effect,
         priority: request.urgency,
         target: request.route.target_latency,
-        left: request.deadline.since(now),
-        caller_left: request.caller_deadline.since(now),
-        repeat: course.way.arrivals() > 0,
-        echo: request.echo,
-        moved: !course.way.tried().is_empty(),
+        time_left: request.deadline.since(now),
+        caller_time_left: request.caller_deadline.since(now),
+        is_retry: progress.retry_state.arrivals() > 0,
+        parent_is_retry: request.parent_is_retry,
+        moved: !progress.retry_state.tried().is_empty(),
         method: request.method.clone(),
         path: request.path.clone(),
         headers: request.headers.clone(),
         body: request.body.clone(),
     };
-    let (way, receiver) = if node == state.me {
+    let (handle, receiver) = if node == state.me {
         let (sender, receiver) = oneshot::channel();
         let id = state.serve.number();
         state.serve.submit(state, id, call, Sink::Local(sender));
-        (Way::Local(id), receiver)
+        (Handle::Local(id), receiver)
     } else {
         let link = state.link(node)?;
         let (id, receiver) = link.call(call)?;
-        (Way::Remote(link, id), receiver)
+        (Handle::Remote(link, id), receiver)
     };
     state.balance.borrow_mut().sent(node);
-    Some((Flight { state, node, way, landed: false }, receiver))
+    Some((Attempt { state, node, handle, is_finished: false }, receiver))
 }
 
-/// Waits for the reply; `None` if the time is over first.
-async fn land(
+/// Waits for the reply. Returns `None` if the deadline passes first.
+async fn await_reply(
     state: &Rc<State>,
     request: &Request,
-    mut flight: Flight<'_>,
+    mut attempt: Attempt<'_>,
     receiver: oneshot::Receiver<Reply>,
 ) -> Option<Reply> {
     let left = request.deadline.since(state.now());
     tokio::select! {
         biased;
         reply = receiver => {
-            flight.landed = true;
-            // Only a node that ends drops what it was asked for.
+            attempt.is_finished = true;
+            // The sender is dropped only when the node shuts down.
             Some(reply.unwrap_or(Reply::Unknown(Kind::Broken)))
         }
         () = sleep(Duration::from_millis(left.0)) => None,
--- a/crates/walnutmoor/src/mesh/frame.rs
+++ b/crates/walnutmoor/src/mesh/frame.rs
@@ -1,10 +1,10 @@
 /*!
-What travels between two nodes.
+The frames of the protocol between nodes, and their encoding.
 
-A link is one TCP connection, opened by the node that sends requests over it.
-Each frame is a length of four bytes, the smaller end first, and a message in
-`postcard`. Many requests are under way on a link at once, so a wait of one
-holds up no other.
+A link is one TCP connection, opened by the node that sends calls over it. A
+frame is a length of four bytes, in little-endian order, followed by a message
+in `postcard` format. The calls of a link are multiplexed: a slow one does not
+block the others.
 
 # Example
 
@@ -46,177 +46,183 @@
 };
 
 /// The longest frame: the longest body that the platform allows, with room
-/// for its head.
-const FRAME_MAX: usize = 72 << 20;
+/// for its headers.
+const MAX_FRAME_BYTES: usize = 72 << 20;
 
-/// Headers as they travel: names and values, in order.
+/// Header names and values, in order.
 pub type Headers = Vec<(String, Bytes)>;
 
-/// One message.
+/// A message between two nodes.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum Frame {
-    /// The first frame in either direction.
+    /// The handshake; the first frame in either direction.
     Hello(Hello),
-    /// Run this.
+    /// Asks the receiver to run a request.
     Call(Box<Call>),
-    /// The caller left, or its time is over.
+    /// Cancels a call: its caller has disconnected or its deadline has passed.
     Cancel(CallId),
-    /// What became of these? Asked after a link broke.
+    /// Asks for the replies to these calls after the link has reconnected.
     Query(Vec<CallId>),
-    /// What became of a call.
+    /// The reply to a call, with the load of the instance.
     Answer(CallId, Reply, Load),
-    /// Are you there? Carries the desired state that the sender has.
+    /// Checks that the receiver is alive. Carries the edition of the sender's
+    /// desired state.
     Ping(Edition),
-    /// I am. Carries the same, whether the sender reaches the store, and the
-    /// load.
+    /// Answers a ping. Carries the edition of the sender's desired state,
+    /// whether the sender reaches the store, and the load of its instance.
     Pong(Edition, bool, Load),
-    /// Send me your desired state.
+    /// Asks for the receiver's desired state.
     Fetch,
-    /// The desired state, as the store holds it, with the store's number.
+    /// The desired state as stored, with its stamp.
     Desired(Stamp, Bytes),
-    /// Requests under which instances have ended, and those that were found
-    /// innocent.
+    /// Evidence on requests that may have crashed instances.
     Evidence(Vec<Evidence>),
-    /// May so many requests of an account be let in?
-    Ask(Account, Request),
-    /// So many may.
-    Granted(Account, quota::Response),
-    /// The instance beside the sender has said that it leaves.
+    /// Asks for quota of an account.
+    #[serde(rename = "Ask")]
+    QuotaRequest(Account, Request),
+    /// The response to a [`Frame::QuotaRequest`].
+    #[serde(rename = "Granted")]
+    QuotaResponse(Account, quota::Response),
+    /// The sender's instance has announced its departure.
     Departed(Lifetime),
-    /// These, beside the receiver, have said so to a former life of it.
-    Former(Vec<Lifetime>),
-    /// The store has told this era.
+    /// Instances of the receiver that announced their departure, perhaps to an
+    /// earlier incarnation of it.
+    #[serde(rename = "Former")]
+    KnownDepartures(Vec<Lifetime>),
+    /// The era that was read from the store.
     Era(Era),
 }
 
-/// The number of the frames' form, one more for each change that a node of
-/// the former one would misread. Such nodes don't link to each other. The first
-/// frames had no number, and a reader of them takes this one for no address.
-pub const PROTOCOL: u32 = 2;
+/// The protocol version. Incremented with each incompatible change of the
+/// frames; nodes of different versions do not link to each other.
+pub const PROTOCOL_VERSION: u32 = 2;
 
-/// Who speaks.
+/// The handshake: introduces the sender.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Hello {
-    /// The form of its frames; [`PROTOCOL`].
+    /// The protocol version; [`PROTOCOL_VERSION`].
     pub protocol: u32,
-    /// Where it listens for links.
+    /// The address at which it accepts links.
     pub node: NodeId,
-    /// Its life.
-    pub life: Incarnation,
+    /// Its incarnation.
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
     /// Its availability zone.
     pub zone: Zone,
-    /// The service of the instance beside it.
+    /// The service of its instance.
     pub service: Service,
-    /// The desired state that it has.
+    /// The edition of its desired state.
     pub edition: Edition,
-    /// The store's era, as far as it knows; 0 if it knows none.
+    /// The last era that it knows of the store; 0 if none.
     pub era: Era,
     /// The load of its instance.
     pub load: Load,
     /// Some other nodes that it knows.
     pub known: Vec<NodeId>,
-    /// How many nodes there are, as far as it knows.
+    /// The number of nodes in the fleet, as far as it knows.
     pub fleet: usize,
 }
 
-/// A request on its way to an instance.
+/// A request sent to the node of an instance.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Call {
-    /// Its number on this link; grows by one with each call.
+    /// Its number on this link; incremented with each call.
     pub id: CallId,
     /// The service that is to run it.
     pub service: Service,
-    /// The service beside which it began.
+    /// The service of the sending node's instance.
     pub caller: Service,
-    /// The client account that it is from.
+    /// The client account of the caller, if known.
     pub account: Option<Account>,
-    /// The caller's id of the attempt.
+    /// The attempt id, as set by the caller.
     pub attempt: String,
-    /// Its content, the same for all attempts.
+    /// The fingerprint of the content; the same for all attempts.
     pub fingerprint: Fingerprint,
-    /// What the sender knows against it.
+    /// The sender's evidence that it crashes instances, if any.
     pub evidence: Option<Evidence>,
-    /// Whether it may run again.
+    /// Whether it may run more than once.
     pub effect: Effect,
-    /// Its rank, as `bulkhead::urgency` gives it.
+    /// The rank, as computed by `bulkhead::urgency`.
     pub priority: u8,
-    /// The time within which its answer is worth most.
+    /// The target latency of the route.
     pub target: Millis,
-    /// What is left until the route's timeout.
-    pub left: Millis,
-    /// What is left of the caller's own time.
-    pub caller_left: Millis,
-    /// True if an instance may have been reached by it before.
-    pub repeat: bool,
-    /// True if a run that is itself a repeat has made it.
-    pub echo: bool,
-    /// True if another instance has turned it away.
+    /// The time left until the response is due.
+    #[serde(rename = "left")]
+    pub time_left: Millis,
+    /// The time left until the caller stops waiting.
+    #[serde(rename = "caller_left")]
+    pub caller_time_left: Millis,
+    /// True if an earlier attempt reached an instance, or may have.
+    #[serde(rename = "repeat")]
+    pub is_retry: bool,
+    /// True if the run that made it is a retry or descends from one.
+    #[serde(rename = "echo")]
+    pub parent_is_retry: bool,
+    /// True if it was sent to a node before.
     pub moved: bool,
     /// The method.
     pub method: String,
-    /// Path and query, unchanged.
+    /// The path and query, unchanged.
     pub path: String,
-    /// The headers that are passed on.
+    /// The headers to forward.
     pub headers: Headers,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// What became of a call.
+/// The result of a call.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum Reply {
     /// The instance answered.
     Answered {
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// The headers that are passed on.
+        /// The headers to forward.
         headers: Headers,
-        /// The whole body.
+        /// The complete body.
         body: Bytes,
-        /// What it took of each service.
+        /// The work that it caused at each service.
         footprint: Footprint,
     },
-    /// It was not run, and this call never will be.
+    /// The call did not run and will not run later.
     NotRun {
-        /// Why.
+        /// The reason.
         kind: Kind,
-        /// When there may be room.
+        /// When a retry may be accepted.
         retry: Millis,
-        /// True if the instance saw it and turned it away.
+        /// True if the instance received and rejected it.
         reached: bool,
     },
     /// It may have run.
     Unknown(Kind),
-    /// The instance ended while it ran.
+    /// The instance crashed while running it.
     Crashed(Crash),
 }
 
-/// A frame that can't be read; the link is broken.
+/// A frame that cannot be decoded. Holds its length in bytes.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("a frame of {0} bytes can't be read")]
+#[error("a frame of {0} bytes cannot be decoded")]
 pub struct Error(usize);
 
-/// Appends a frame.
+/// Appends an encoded frame.
 pub fn encode(frame: &Frame, out: &mut BytesMut) {
     let body = postcard::to_allocvec(frame);
-    // Plain data in memory always encodes.
-    let body = body.expect("a frame encodes");
+    let body = body.expect("encoding plain data cannot fail");
     out.extend_from_slice(&(body.len() as u32).to_le_bytes());
     out.extend_from_slice(&body);
 }
 
-/// Bytes read at once, into a buffer that all links of a thread share. Most
-/// answers fit, and with smaller reads most frames took two. A link that waits
-/// holds no buffer of its own; with one of 8 KB each, a node that is linked
-/// both ways with 300 others would hold 5 MB (by arithmetic).
-const READ: usize = 16 << 10;
+/// The size of the read buffer. All links of a thread share it, so that idle
+/// links hold no buffers.
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
 thread_local! {
     static READ_BUFFER: RefCell<Box<[u8]>> =
-        RefCell::new(vec![0; READ].into_boxed_slice());
+        RefCell::new(vec![0; READ_BUFFER_BYTES].into_boxed_slice());
 }
 
-/// Reads what has come; 0 at the end of the connection.
+/// Appends the available bytes, waiting for some if there are none. Returns
+/// their number; 0 at the end of the connection.
 ///
 /// # Errors
 ///
@@ -239,17 +245,17 @@
     .await
 }
 
-/// Takes the first whole frame; `None` if more bytes are needed.
+/// Removes and decodes the first frame. Returns `None` if it is incomplete.
 ///
 /// # Errors
 ///
-/// If what is there is no frame.
+/// If the bytes are not a valid frame, or it is too long.
 pub fn decode(input: &mut BytesMut) -> Result<Option<Frame>, Error> {
-    let Some(head) = input.first_chunk::<4>() else {
+    let Some(prefix) = input.first_chunk::<4>() else {
         return Ok(None);
     };
-    let len = u32::from_le_bytes(*head) as usize;
-    if len > FRAME_MAX {
+    let len = u32::from_le_bytes(*prefix) as usize;
+    if len > MAX_FRAME_BYTES {
         return Err(Error(len));
     }
     if input.len() < 4 + len {
--- a/crates/walnutmoor/src/mesh/ingress.rs
+++ b/crates/walnutmoor/src/mesh/ingress.rs
@@ -1,6 +1,6 @@
 /*!
-Takes requests from callers and from the instance beside this node, and
-answers them.
+The ingress: receives requests from callers and from the local instance,
+applies quotas and admission, and answers them.
 */
 
 mod admission;
@@ -32,23 +32,22 @@
     telemetry,
 };
 
-/// Callers' requests under way at most: at 12 KB each 36 MB, a quarter of the
-/// least that a node is given.
-const UNDER_WAY_MAX: usize = 3_000;
+/// The number of callers' requests in flight above which new ones are
+/// rejected. Bounds their memory.
+const MAX_IN_FLIGHT: usize = 3_000;
 
-/// The part of a node's memory that bodies held for callers may take. Each is
-/// in memory up to twice, as it waits to be written to another node.
-const HELD_PART: f64 = 0.3;
+/// The fraction of the node's memory that request bodies may take. A body
+/// may be in memory twice while it is written to another node.
+const MAX_HELD_FRACTION: f64 = 0.3;
 
-/// When a caller may come back that met a node which does not know the
-/// desired state yet; reading it takes some tens of milliseconds.
-const RETRY_STARTING: Millis = Millis(300);
+/// The `Retry-After` of requests that this node cannot serve for the moment,
+/// for example before it has read the desired state.
+const UNAVAILABLE_RETRY_AFTER: Millis = Millis(300);
 
-/// The part of the descriptors that callers' connections may take before
-/// they are asked to close. Callers that retry open a new connection each
-/// time and keep the old one for as long as the operator allows; a node that
-/// runs out of descriptors reads nobody.
-const CONNECTIONS_PART: f64 = 0.35;
+/// The fraction of the file descriptors that callers' connections may take
+/// before responses ask callers to close them. Without descriptors the node
+/// could not accept connections.
+const MAX_CONNECTIONS_FRACTION: f64 = 0.35;
 
 /// Accepts connections until the process ends.
 pub async fn listen(state: Rc<State>, listener: TcpListener) {
@@ -67,69 +66,71 @@
     }
 }
 
-/// True if callers are to close their connections after an answer.
-pub(super) fn is_crowded(state: &State) -> bool {
+/// True if responses are to ask callers to close their connections: there are
+/// too many, or the node is shutting down.
+pub(super) fn should_close_connections(state: &State) -> bool {
     let all = state.settings.descriptors as f64;
-    let crowded = state.connections.get() as f64 > all * CONNECTIONS_PART;
-    crowded || state.phase.get() != Phase::Serving
+    let too_many =
+        state.connections.get() as f64 > all * MAX_CONNECTIONS_FRACTION;
+    too_many || state.phase.get() != Phase::Serving
 }
 
-/// Counts a request for as long as it lasts, and notes when its caller has
-/// left: whatever is done for it is then dropped.
-pub(super) struct Stay {
+/// Counts a request as in flight until it is dropped. If it is dropped before
+/// it has finished, the request is recorded as canceled by its caller.
+pub(super) struct InFlight {
     state: Rc<State>,
     attempt: String,
     route: String,
     account: Option<Arc<Account>>,
-    since: Millis,
-    held: usize,
-    is_over: bool,
+    received_at: Millis,
+    held_bytes: usize,
+    is_finished: bool,
 }
 
-impl Stay {
-    fn new(state: &Rc<State>, attempt: &str) -> Stay {
+impl InFlight {
+    fn new(state: &Rc<State>, attempt: &str) -> InFlight {
         state.under_way.set(state.under_way.get() + 1);
-        Stay {
+        InFlight {
             state: state.clone(),
             attempt: attempt.to_string(),
             route: String::new(),
             account: None,
-            since: state.now(),
-            held: 0,
-            is_over: false,
+            received_at: state.now(),
+            held_bytes: 0,
+            is_finished: false,
         }
     }
 }
 
-impl Stay {
+impl InFlight {
     /// The name of the account, for logs.
     fn account(&self) -> Option<&str> {
         self.account.as_ref().map(|account| account.name.as_str())
     }
 }
 
-impl Drop for Stay {
+impl Drop for InFlight {
     fn drop(&mut self) {
         let state = &self.state;
         state.under_way.set(state.under_way.get() - 1);
-        state.held.set(state.held.get() - self.held);
-        if self.is_over {
+        state.held.set(state.held.get() - self.held_bytes);
+        if self.is_finished {
             return;
         }
         metrics::counter!("walnutmoor_canceled_total").increment(1);
         let now = state.now();
-        let fields = [("after_ms", now.since(self.since).0.into())];
+        let fields = [("after_ms", now.since(self.received_at).0.into())];
         let id = &self.attempt;
         state.journal.request(now, Event::Canceled, id, &fields);
     }
 }
 
-/// Who a request is from.
+/// The sender of a request.
 #[derive(Debug)]
 pub(super) enum Origin {
-    /// A caller, of this account if it needs one.
+    /// A caller, with its account if the route requires one.
     Caller(Option<Arc<Account>>),
-    /// A run of the instance beside this node.
+    /// A run of the local instance, for which this is a nested call.
     Run(Parent),
 }
 
@@ -143,113 +144,134 @@
     }
 }
 
-/// A request that is turned away before it was read whole.
-pub(super) struct Turned {
-    /// Its answer.
+/// A request that was rejected before it was read completely.
+pub(super) struct Rejection {
+    /// The response.
     pub(super) answer: Answer,
-    /// Its method.
+    /// The method of the request.
     pub(super) method: Method,
-    /// Bytes of its body that may be passed over; `None` if the connection
-    /// is to close instead.
-    pub(super) rest: Option<usize>,
-    /// Its stay, until the answer is written.
-    pub(super) stay: Stay,
+    /// The number of body bytes that may be discarded; `None` if the
+    /// connection must close instead.
+    pub(super) max_discard: Option<usize>,
+    /// Kept until the response is queued for writing.
+    pub(super) in_flight: InFlight,
 }
 
-/// The answer to bytes that are no request.
-pub(super) fn unreadable(state: &Rc<State>, kind: Kind) -> Turned {
-    let mut stay = Stay::new(state, "");
-    let answer = turn_away(state, &mut stay, &not_run(kind));
-    Turned { answer, method: Method::GET, rest: None, stay }
+/// Rejects bytes that are not a valid request.
+pub(super) fn reject_unreadable(state: &Rc<State>, kind: Kind) -> Rejection {
+    let mut in_flight = InFlight::new(state, "");
+    let answer = refuse(state, &mut in_flight, &not_run(kind));
+    Rejection { answer, method: Method::GET, max_discard: None, in_flight }
 }
 
-/// A request whose head was read.
+/// A request whose head was read and whose body is being read.
 pub(super) struct Arrival {
-    stay: Stay,
+    in_flight: InFlight,
     head: Head,
     route: Arc<Route>,
     origin: Origin,
-    content: poison::Hasher,
+    content_hasher: poison::Hasher,
     body: BytesMut,
-    body_max: usize,
+    max_body_bytes: usize,
 }
 
 impl Arrival {
-    /// Finds the route of a request by its head.
+    /// Finds the route and the sender of a request by its head.
+    ///
+    /// # Errors
+    ///
+    /// If the request is rejected.
     pub(super) fn open(
         state: &Rc<State>,
         head: Head,
-    ) -> Result<Arrival, Box<Turned>> {
+    ) -> Result<Arrival, Box<Rejection>> {
         let attempt = header::attempt(&head.headers).unwrap_or_default();
-        let mut stay = Stay::new(state, attempt);
-        let body_max = state.table().unwrap_or_default().limits.max_body_bytes;
-        match look_up(state, &stay, &head) {
+        let mut in_flight = InFlight::new(state, attempt);
+        let max_body_bytes =
+            state.table().unwrap_or_default().limits.max_body_bytes;
+        match resolve(state, &in_flight, &head) {
             Ok((route, origin)) => {
-                stay.route = route.name.clone();
-                stay.account = origin.account().cloned();
-                let content = content(&head, origin.account());
+                in_flight.route = route.name.clone();
+                in_flight.account = origin.account().cloned();
+                let content_hasher = content_hasher(&head, origin.account());
                 let body = BytesMut::new();
                 Ok(Arrival {
-                    stay,
+                    in_flight,
                     head,
                     route,
                     origin,
-                    content,
+                    content_hasher,
                     body,
-                    body_max,
+                    max_body_bytes,
                 })
             }
             Err(kind) => {
-                let answer = turn_away(state, &mut stay, &not_run(kind));
+                let answer = refuse(state, &mut in_flight, &not_run(kind));
                 let Head { method, expects, closes, .. } = head;
                 let closes = kind == Kind::TooLarge || expects || closes;
-                let rest = (!closes).then_some(body_max);
-                Err(Box::new(Turned { answer, method, rest, stay }))
+                let max_discard = (!closes).then_some(max_body_bytes);
+                Err(Box::new(Rejection {
+                    answer,
+                    method,
+                    max_discard,
+                    in_flight,
+                }))
             }
         }
     }
 
-    /// Adds bytes of the body.
-    pub(super) fn extend(
+    /// Appends bytes to the body.
+    ///
+    /// # Errors
+    ///
+    /// If the body is too large or the node holds too many bytes.
+    pub(super) fn push_body(
         &mut self,
         state: &State,
         data: &[u8],
     ) -> Result<(), Kind> {
-        if self.body.len() + data.len() > self.body_max {
+        if self.body.len() + data.len() > self.max_body_bytes {
             return Err(Kind::TooLarge);
         }
-        if state.held.get() + data.len() > held_max(state) {
+        if state.held.get() + data.len() > max_held_bytes(state) {
             return Err(Kind::Full);
         }
-        self.content.update(data);
+        self.content_hasher.update(data);
         self.body.extend_from_slice(data);
-        self.stay.held += data.len();
+        self.in_flight.held_bytes += data.len();
         state.held.set(state.held.get() + data.len());
         Ok(())
     }
 
-    /// Gives the request up before its body is whole.
-    pub(super) fn turn_away(
+    /// Rejects the request before its body is complete.
+    pub(super) fn reject(
         mut self: Box<Arrival>,
         state: &Rc<State>,
         kind: Kind,
-    ) -> Turned {
-        let answer = turn_away(state, &mut self.stay, &not_run(kind));
+    ) -> Rejection {
+        let answer = refuse(state, &mut self.in_flight, &not_run(kind));
         let method = self.head.method.clone();
-        Turned { answer, method, rest: None, stay: self.stay }
+        Rejection {
+            answer,
+            method,
+            max_discard: None,
+            in_flight: self.in_flight,
+        }
     }
 
-    /// The connection closes, and this counts as not read.
-    pub(super) fn leave_unread(mut self: Box<Arrival>) {
-        self.stay.is_over = true;
+    /// Drops the request without an answer, as its connection closes. It is
+    /// not recorded as canceled.
+    pub(super) fn abandon(mut self: Box<Arrival>) {
+        self.in_flight.is_finished = true;
     }
 
-    /// True, once, if the caller waits to be told to send the body.
-    pub(super) fn must_be_told(&mut self) -> bool {
+    /// Returns true, once, if the caller waits for `100 Continue` before it
+    /// sends the body.
+    pub(super) fn take_expect_continue(&mut self) -> bool {
         std::mem::take(&mut self.head.expects) && self.body.is_empty()
     }
 
-    pub(super) fn is_repeatable(&self) -> bool {
+    pub(super) fn is_idempotent(&self) -> bool {
         self.route.effect == Effect::Idempotent
     }
 
@@ -261,22 +283,26 @@
         &self.head.method
     }
 
-    /// Brings the request to its end.
+    /// Serves the request, which must have been read completely.
     pub(super) async fn serve(
         mut self: Box<Arrival>,
         state: &Rc<State>,
-    ) -> (Answer, Stay) {
-        let answer = match self.carry(state).await {
+    ) -> (Answer, InFlight) {
+        let answer = match self.admit_and_run(state).await {
             Ok(answer) => answer,
-            Err(refusal) => turn_away(state, &mut self.stay, &refusal),
+            Err(refusal) => refuse(state, &mut self.in_flight, &refusal),
         };
-        self.stay.is_over = true;
-        (answer, self.stay)
+        self.in_flight.is_finished = true;
+        (answer, self.in_flight)
     }
 
-    /// Lets the request in, first under its account's quota, so that one
-    /// account's flood is not taken for demand, and then as load allows.
-    async fn carry(&mut self, state: &Rc<State>) -> Result<Answer, Refusal> {
+    /// Applies the account's quota, then admission, and dispatches the
+    /// request. The quota comes first, so that requests above it do not count
+    /// as demand.
+    async fn admit_and_run(
+        &mut self,
+        state: &Rc<State>,
+    ) -> Result<Answer, Refusal> {
         let account = self.origin.account().cloned();
         let target = self.route.target_latency;
         let permit = state.acquire(account.as_deref(), target).await?;
@@ -289,50 +315,51 @@
         };
         let finished = dispatch::run(state, &request).await;
         permit.into_iter().for_each(|permit| permit.end(finished.runs));
-        Ok(conclude(state, &self.stay, &request, finished))
+        Ok(conclude(state, &self.in_flight, &request, finished))
     }
 }
 
-/// The route of a request and who it is from, if its body may be read.
-fn look_up(
+/// The route and the sender of a request, if its body may be read.
+fn resolve(
     state: &State,
-    stay: &Stay,
+    in_flight: &InFlight,
     head: &Head,
 ) -> Result<(Arc<Route>, Origin), Kind> {
     let table = state.table().ok_or(Kind::Starting)?;
     if state.phase.get() == Phase::Finishing {
         return Err(Kind::Leaving);
     }
-    if state.under_way.get() > UNDER_WAY_MAX {
+    if state.under_way.get() > MAX_IN_FLIGHT {
         return Err(Kind::Full);
     }
-    if stay.attempt.is_empty() {
+    if in_flight.attempt.is_empty() {
         return Err(Kind::Malformed);
     }
-    let route = host(head).and_then(|h| table.find(h, head.uri.path()));
+    let route = host(head).and_then(|host| table.find(host, head.uri.path()));
     let route = route.ok_or(Kind::NoRoute)?.clone();
-    let origin = identify(state, &table.accounts, &route, stay, head)?;
+    let origin = identify(state, &table.accounts, &route, in_flight, head)?;
     if let Framing::Length(length) = head.framing {
         let length = usize::try_from(length).unwrap_or(usize::MAX);
         if length > table.limits.max_body_bytes {
             return Err(Kind::TooLarge);
         }
-        if length > held_max(state).saturating_sub(state.held.get()) {
+        if length > max_held_bytes(state).saturating_sub(state.held.get()) {
             return Err(Kind::Full);
         }
     }
     Ok((route, origin))
 }
 
-/// Decides who a request is from, whatever it says of itself but its key.
+/// Determines the sender of a request. Only its key and its attempt id count,
+/// not what other headers claim.
 fn identify(
     state: &State,
     accounts: &Directory,
     route: &Route,
-    stay: &Stay,
+    in_flight: &InFlight,
     head: &Head,
 ) -> Result<Origin, Kind> {
-    let id = &stay.attempt;
+    let id = &in_flight.attempt;
     let key = header::key(&head.headers);
     let sender = Sender {
         is_public: route.is_public,
@@ -340,7 +367,7 @@
         has_call_id: header::parent(id).is_some(),
     };
     let account = accounts.authenticate(key, sender)?.cloned();
-    // Whoever bears a key where there are accounts is a caller.
+    // With accounts configured, a request with a key is from a caller.
     let may_be_run = accounts.is_empty() || key == Key::Missing;
     let parent = match account.is_none() && may_be_run {
         true => state.serve.parent(state.now(), id),
@@ -356,9 +383,13 @@
     }
 }
 
-/// What names a request by its head; its body follows. A caller with another
-/// key of its account sends the same request.
-fn content(head: &Head, account: Option<&Arc<Account>>) -> poison::Hasher {
+/// A hasher for the fingerprint of a request, fed with its head. The account
+/// counts instead of the key, so that all keys of an account give the same
+/// fingerprint.
+fn content_hasher(
+    head: &Head,
+    account: Option<&Arc<Account>>,
+) -> poison::Hasher {
     let method = head.method.as_str();
     let host = host(head).unwrap_or_default();
     let path = admission::path(head);
@@ -370,13 +401,13 @@
     poison::Hasher::new([method, host, path, account])
 }
 
-/// Bytes of bodies held for callers at most.
-fn held_max(state: &State) -> usize {
-    let all = (state.settings.memory << 20) as f64;
-    (all * HELD_PART) as usize
+/// The number of bytes of request bodies that the node may hold.
+fn max_held_bytes(state: &State) -> usize {
+    let memory = (state.settings.memory << 20) as f64;
+    (memory * MAX_HELD_FRACTION) as usize
 }
 
-/// A refusal of a request that was not even tried.
+/// The refusal of a request that was not sent to any instance.
 fn not_run(kind: Kind) -> Refusal {
     let refusal = Refusal::new(kind, Ran::No);
     match kind {
@@ -384,58 +415,64 @@
         | Kind::Leaving
         | Kind::Full
         | Kind::Orphaned
-        | Kind::UnknownService => refusal.retry_after(RETRY_STARTING),
+        | Kind::UnknownService => refusal.retry_after(UNAVAILABLE_RETRY_AFTER),
         _ => refusal,
     }
 }
 
-fn turn_away(state: &Rc<State>, stay: &mut Stay, refusal: &Refusal) -> Answer {
-    stay.is_over = true;
+/// Logs and counts a refusal, and returns its response.
+fn refuse(
+    state: &Rc<State>,
+    in_flight: &mut InFlight,
+    refusal: &Refusal,
+) -> Answer {
+    in_flight.is_finished = true;
     let kind = refusal.kind;
     metrics::counter!("walnutmoor_refused_total", "kind" => kind.as_str())
         .increment(1);
     let now = state.now();
     if state.journal.has_room(now, Event::Refused) {
         let throttle = state.throttle.borrow();
-        let let_in = throttle.admitted_fraction(&stay.route);
-        let spent = throttle.retry_budget_spent(&stay.route);
+        let admitted = throttle.admitted_fraction(&in_flight.route);
+        let budget_spent = throttle.retry_budget_spent(&in_flight.route);
         let demand = state.balance.borrow().pressures().worst.demand;
         let fields = [
             ("why", kind.as_str().into()),
-            ("route", stay.route.as_str().into()),
-            ("account", stay.account().into()),
-            ("let_in", let_in.into()),
+            ("route", in_flight.route.as_str().into()),
+            ("account", in_flight.account().into()),
+            ("let_in", admitted.into()),
             ("demand", demand.into()),
-            ("repeats_spent", spent.into()),
+            ("repeats_spent", budget_spent.into()),
             ("version", state.edition().version.0.into()),
             ("revision", state.edition().stamp.revision.0.into()),
         ];
-        let id = &stay.attempt;
+        let id = &in_flight.attempt;
         state.journal.request(now, Event::Refused, id, &fields);
     }
-    telemetry::count_account(stay.account(), kind.as_str());
+    telemetry::count_account(in_flight.account(), kind.as_str());
     match refusal.retry_after {
         Some(span) => {
-            let span = Millis(span.0.max(RETRY_MIN.0));
+            let span = Millis(span.0.max(MIN_RETRY_AFTER.0));
             wire::refuse(kind, state.spread(span))
         }
         None => wire::fail(kind),
     }
 }
 
-/// The shortest span after which a caller is told to come back: room that
-/// is short now is seldom there sooner.
-const RETRY_MIN: Millis = Millis(250);
+/// The shortest `Retry-After`: capacity that is exhausted is rarely available
+/// sooner.
+const MIN_RETRY_AFTER: Millis = Millis(250);
 
+/// Logs and counts a dispatched request, and returns its response.
 fn conclude(
     state: &Rc<State>,
-    stay: &Stay,
+    in_flight: &InFlight,
     request: &dispatch::Request,
     finished: Finished,
 ) -> Answer {
     let Finished { end, tried, .. } = finished;
     let now = state.now();
-    let after = now.since(stay.since);
+    let after = now.since(in_flight.received_at);
     let route = &request.route;
     let id = &request.attempt;
     let (event, outcome, why) = match &end {
@@ -446,14 +483,15 @@
         End::Refused(kind, _) => (Event::Refused, "refused", kind.as_str()),
         End::Failed(kind) => (Event::Unknown, "unknown", kind.as_str()),
     };
-    admission::learn(state, request, &end);
+    admission::record_outcome(state, request, &end);
     metrics::counter!("walnutmoor_requests_total", "outcome" => outcome)
         .increment(1);
-    telemetry::count_account(stay.account(), outcome);
+    telemetry::count_account(in_flight.account(), outcome);
     metrics::histogram!("walnutmoor_request_seconds").record(after.secs());
     if state.journal.has_room(now, event) {
-        let last = tried.last().and_then(|n| state.balance.borrow().load(*n));
-        let wait = last.map(|l| l.waits[usize::from(request.urgency)]);
+        let load =
+            tried.last().and_then(|node| state.balance.borrow().load(*node));
+        let wait = load.map(|load| load.waits[usize::from(request.urgency)]);
         let nodes = tried.iter().map(ToString::to_string);
         let mut fields = vec![
             ("why", why.into()),
@@ -462,7 +500,7 @@
             ("rank", request.urgency.into()),
             ("wait_ms", wait.into()),
             ("route", route.name.as_str().into()),
-            ("account", stay.account().into()),
+            ("account", in_flight.account().into()),
             ("service", request.service.as_str().into()),
             ("version", state.edition().version.0.into()),
             ("revision", state.edition().stamp.revision.0.into()),
@@ -480,9 +518,9 @@
         End::Answered { status, headers, body, .. } => {
             wire::answer(status, headers, body)
         }
-        End::Refused(kind, retry) => {
-            let retry = Millis(retry.0.max(RETRY_MIN.0));
-            wire::refuse(kind, state.spread(retry))
+        End::Refused(kind, retry_after) => {
+            let retry_after = Millis(retry_after.0.max(MIN_RETRY_AFTER.0));
+            wire::refuse(kind, state.spread(retry_after))
         }
         End::Failed(kind) => wire::fail(kind),
     }
--- a/crates/walnutmoor/src/mesh/ingress/admission.rs
+++ b/crates/walnutmoor/src/mesh/ingress/admission.rs
@@ -1,6 +1,6 @@
 /*!
-Applies admission at the way in: lets a request in or refuses it, and tells
-`walnutmoor_core::throttle` how those ended that were let in.
+Admission control at the ingress: admits or refuses callers' requests, and
+records the outcomes of admitted ones in `walnutmoor_core::throttle`.
 */
 
 use std::rc::Rc;
@@ -28,29 +28,37 @@
     },
 };
 
-/// When a caller may come back that admission refused, as a part of the
-/// route's target: soon enough that an answer at the second try still lies
-/// within it, where a request takes half of its target. The spread keeps
-/// callers from coming together.
-const RETRY_CUT: f64 = 0.15;
+/// The `Retry-After` of a refused request, as a fraction of the route's target
+/// latency. It is short enough that a second attempt may still be answered
+/// within the target.
+const RETRY_AFTER_FRACTION: f64 = 0.15;
 
-/// The time that a caller has if it names none.
-const TIME_LEFT: Millis = Millis(30_000);
+/// The time left of a request that does not state it.
+const DEFAULT_TIME_LEFT: Millis = Millis(30_000);
 
-/// Decides on a request that was read whole.
+/// Admits a completely read request to dispatch.
+///
+/// # Errors
+///
+/// If it is refused.
 pub(super) fn admit(
     state: &Rc<State>,
     arrival: &mut Arrival,
 ) -> Result<dispatch::Request, Refusal> {
-    let Arrival { stay, head, route, origin, content, body, .. } = arrival;
-    let left = header::time_left(&head.headers).unwrap_or(TIME_LEFT);
+    let Arrival {
+        in_flight, head, route, origin, content_hasher, body, ..
+    } = arrival;
+    let time_left =
+        header::time_left(&head.headers).unwrap_or(DEFAULT_TIME_LEFT);
     let account = origin.account().cloned();
     let parent = match origin {
         Origin::Run(parent) => Some(*parent),
         Origin::Caller(_) => None,
     };
-    if parent.is_none() && !is_let_in(state, &stay.attempt, route, left) {
-        let span = route.target_latency.0 as f64 * RETRY_CUT;
+    if parent.is_none()
+        && !is_admitted(state, &in_flight.attempt, route, time_left)
+    {
+        let span = route.target_latency.0 as f64 * RETRY_AFTER_FRACTION;
         let refusal = Refusal::new(Kind::Overloaded, Ran::No);
         return Err(refusal.retry_after(Millis(span as u64)));
     }
@@ -62,41 +70,44 @@
             let key = Key::of(&service);
             let cheap = state.throttle.borrow().is_cheap(&route.name, key);
             let urgency = bulkhead::urgency(route.priority, cheap);
-            account.as_ref().map_or(urgency, |a| a.urgency(urgency))
+            account
+                .as_ref()
+                .map_or(urgency, |account| account.urgency(urgency))
         }
     };
     header::prepare(&mut head.headers);
     Ok(dispatch::Request {
         urgency,
-        inner: parent.is_some(),
-        echo: parent.is_some_and(|parent| parent.repeat),
+        is_nested: parent.is_some(),
+        parent_is_retry: parent.is_some_and(|parent| parent.repeat),
         service,
         account: account.map(|account| account.name.clone()),
-        attempt: stay.attempt.clone(),
-        fingerprint: content.finish(),
+        attempt: in_flight.attempt.clone(),
+        fingerprint: content_hasher.finish(),
         method: head.method.to_string(),
         path: path(head),
         headers: wire::pack(&head.headers),
         body: std::mem::take(body).freeze(),
-        deadline: stay.since + left.min(route.timeout),
-        caller_deadline: stay.since + left,
+        deadline: in_flight.received_at + time_left.min(route.timeout),
+        caller_deadline: in_flight.received_at + time_left,
         route: route.clone(),
     })
 }
 
-/// Whether admission lets a caller's request in that has so much time left.
-fn is_let_in(
+/// True if a caller's request with this time left is admitted.
+fn is_admitted(
     state: &State,
     attempt: &str,
     route: &Route,
-    left: Millis,
+    time_left: Millis,
 ) -> bool {
-    let returns = state.returns(&route.name, left);
+    let is_retry = state.returns(&route.name, time_left);
     let throttle = state.throttle.borrow();
-    if !throttle.admits(&route.name, returns, state.draw()) {
+    if !throttle.admits(&route.name, is_retry, state.draw()) {
         return false;
     }
-    // A caller may try again what is idempotent, whatever has become of it.
+    // Only requests that must not run twice have to be likely to complete.
+    // Callers may retry idempotent ones after any failure.
     if route.effect == Effect::Idempotent {
         return true;
     }
@@ -107,59 +118,67 @@
     )
 }
 
+/// The path and query of a request.
 pub(super) fn path(head: &Head) -> String {
     let path = head.uri.path_and_query();
     path.map_or("/", |path| path.as_str()).to_string()
 }
 
-/// True if several instances have ended while they ran this.
-fn is_fatal(state: &State, request: &dispatch::Request) -> bool {
+/// True if several instances have crashed while running this request.
+fn has_crashed_instances(state: &State, request: &dispatch::Request) -> bool {
     let evidence = state.evidence(request.fingerprint);
     evidence.is_some_and(|evidence| {
         evidence.unrefuted_crashes() >= MIN_CRASHES_TO_SHARE
     })
 }
 
-/// The status of an instance whose run did not end in time.
-const DEADLINE: u16 = 504;
+/// The status with which an instance answers a run that timed out.
+const TIMEOUT_STATUS: u16 = 504;
 
-/// Tells whoever admits what became of a request: the run that made it, or
-/// admission at this way in.
-pub(super) fn learn(state: &State, request: &dispatch::Request, end: &End) {
+/// Records the outcome of a request: that of a nested call with the run that
+/// made it, that of a caller's request with admission.
+pub(super) fn record_outcome(
+    state: &State,
+    request: &dispatch::Request,
+    end: &End,
+) {
     let route = &request.route;
     let mut throttle = state.throttle.borrow_mut();
     if let End::Answered { footprint, .. } = end {
         throttle.observe_services(footprint);
     }
     match end {
-        End::Answered { footprint, .. } if request.inner => {
+        End::Answered { footprint, .. } if request.is_nested => {
             let called = Called::Answered(footprint);
             state.serve.called(&request.attempt, called);
         }
-        End::Refused(..) if request.inner => {
+        End::Refused(..) if request.is_nested => {
             state.serve.called(&request.attempt, Called::TurnedAway);
         }
-        End::Failed(_) if request.inner && is_fatal(state, request) => {
+        End::Failed(_)
+            if request.is_nested && has_crashed_instances(state, request) =>
+        {
             state.serve.called(&request.attempt, Called::Fatal);
         }
         End::Answered { status, footprint, .. } => {
             if *status < 500 {
-                let own = Key::of(&request.service);
+                let own_key = Key::of(&request.service);
                 throttle.observe_route(
                     &route.name,
                     route.priority,
                     footprint,
-                    own,
+                    own_key,
                 );
             }
-            let short = footprint.has_refused_call() || *status == DEADLINE;
-            let ended = match *status >= 500 && short {
+            let overloaded =
+                footprint.has_refused_call() || *status == TIMEOUT_STATUS;
+            let outcome = match *status >= 500 && overloaded {
                 true => Outcome::Overloaded,
                 false => Outcome::Completed,
             };
-            throttle.record_outcome(&route.name, route.priority, ended);
+            throttle.record_outcome(&route.name, route.priority, outcome);
         }
-        End::Failed(_) if !request.inner => {
+        End::Failed(_) if !request.is_nested => {
             throttle.record_outcome(
                 &route.name,
                 route.priority,
--- a/crates/walnutmoor/src/mesh/link.rs
+++ b/crates/walnutmoor/src/mesh/link.rs
@@ -1,10 +1,10 @@
 /*!
-The way to one other node: requests go out, answers come back.
+The client side of a link to another node: sends calls and receives replies.
 
-A link that breaks is opened again, and the other node is asked what became
-of the calls that were under way. It answers for those that it has seen and
-says of the others that they never ran, which turns most broken connections
-into true answers. Only if it has begun a new life, nobody can tell.
+A link that breaks is reopened, and the peer is queried for the results of the
+calls that were in flight. It replies to the ones that it received and reports
+the others as not run, so that most broken connections lose no results. If the
+peer has restarted with a new incarnation, the results are unknown.
 */
 
 mod carrier;
@@ -35,39 +35,38 @@
     state::State,
 };
 
-/// A link with calls under way on which nothing was heard for this long is
-/// pinged, and pinged again after the same time.
-const QUIET: Millis = Millis(250);
+/// The time without received data after which a link with calls in flight is
+/// pinged, and the interval at which unanswered pings are repeated.
+const PING_INTERVAL: Millis = Millis(250);
 
-/// The same for a link without calls, at the least. Whoever changes tells all
-/// links at once, so this bounds how old the load of an instance may be that
-/// nobody uses, and a link that turns out dead. Pings of idle links are most of
-/// what a node at rest costs.
-const IDLE_MIN: Millis = Millis(1_000);
+/// The shortest ping interval of an idle link. It bounds the age of the load
+/// known of an unused instance and the time until a dead link is found.
+const MIN_IDLE_PING_INTERVAL: Millis = Millis(1_000);
 
-/// Idle links that a node pings in a second at the most, so that what they
-/// cost does not grow with the fleet. A call on a link that has died since is
-/// found within [`SUSPECT`] all the same.
-const PINGS_A_SECOND: u64 = 40;
+/// The number of idle links that a node pings per second at most, so that the
+/// cost does not grow with the fleet. A call on a dead link is still detected
+/// by the shorter interval for links with calls.
+const MAX_IDLE_PINGS_PER_SECOND: u64 = 40;
 
-/// How long a link without calls is left alone, where there are so many.
-pub fn idle(links: usize) -> Millis {
-    Millis(links as u64 * 1_000 / PINGS_A_SECOND).max(IDLE_MIN)
+/// The ping interval of idle links, for a node with this many links.
+pub fn idle_ping_interval(links: usize) -> Millis {
+    Millis(links as u64 * 1_000 / MAX_IDLE_PINGS_PER_SECOND)
+        .max(MIN_IDLE_PING_INTERVAL)
 }
 
-/// A link whose ping is unanswered for this long gets nothing new. Calls that
-/// were sent on to a node that had lost its power could not be told from those
-/// that it had begun; this shortens the time in which there are any. Lost packets
-/// are sent again after 200 ms.
-const SUSPECT: Millis = Millis(200);
+/// The time without an answer to a ping after which a link is suspect and gets
+/// no new calls. If the peer is dead, the results of calls sent to it are
+/// unknown; a short timeout keeps such calls few.
+const SUSPECT_TIMEOUT: Millis = Millis(200);
 
-/// A link whose ping is unanswered for this long is dead: two more pings went
-/// unanswered.
-const DEAD: Millis = Millis(750);
+/// The time without an answer to a ping after which a link is dead and is
+/// closed. Repeated pings have then gone unanswered, too.
+const DEAD_TIMEOUT: Millis = Millis(750);
 
-/// The pause between looks at a link.
-pub const LOOK: Millis = Millis(125);
+/// The interval at which [`Link::check`] is called.
+pub const CHECK_INTERVAL: Millis = Millis(125);
 
+/// A call without a reply.
 #[derive(Debug)]
 struct Pending {
     reply: oneshot::Sender<Reply>,
@@ -77,90 +76,93 @@
 /// A link to a node.
 #[derive(Debug)]
 pub struct Link {
-    /// The node.
+    /// The peer.
     pub node: NodeId,
-    out: RefCell<Option<UnboundedSender<Frame>>>,
+    outgoing: RefCell<Option<UnboundedSender<Frame>>>,
     pending: RefCell<Map<CallId, Pending>>,
-    last: Cell<u64>,
-    life: Cell<Option<Incarnation>>,
-    heard: Cell<Millis>,
-    /// The first ping that was not answered, and the last.
-    unanswered: Cell<Option<(Millis, Millis)>>,
-    suspected: Cell<bool>,
-    /// Its place among the nodes of its zone.
+    last_call_id: Cell<u64>,
+    /// The incarnation of the peer at the last handshake.
+    incarnation: Cell<Option<Incarnation>>,
+    last_received: Cell<Millis>,
+    /// When the first and the last unanswered ping were sent.
+    unanswered_pings: Cell<Option<(Millis, Millis)>>,
+    is_suspect: Cell<bool>,
+    /// The rank of the peer among the nodes of its zone.
     rank: watcher::Rank,
-    /// The zone of the other node, once it has told.
+    /// The zone of the peer, once known.
     zone: RefCell<Option<Zone>>,
-    /// Whether the other node reaches the store, as far as it has told.
-    is_able: Cell<bool>,
-    /// Whether it was logged that the other node speaks another form of
-    /// frames.
-    foreign: Cell<bool>,
-    broken: Notify,
+    /// Whether the peer reaches the store, by its last report.
+    reaches_store: Cell<bool>,
+    /// Whether a protocol version mismatch was logged.
+    mismatch_logged: Cell<bool>,
+    dead: Notify,
     task: RefCell<Option<AbortHandle>>,
 }
 
 impl Link {
-    /// Keeps a link to a node open from now on.
+    /// Opens a link to a node and keeps it open until [`Link::close`].
     pub fn open(state: &Rc<State>, node: NodeId) -> Rc<Link> {
         let link = Rc::new(Link {
             node,
-            out: RefCell::new(None),
+            outgoing: RefCell::new(None),
             pending: RefCell::new(Map::default()),
-            last: Cell::new(0),
-            life: Cell::new(None),
-            heard: Cell::new(Millis(0)),
-            unanswered: Cell::new(None),
-            suspected: Cell::new(false),
+            last_call_id: Cell::new(0),
+            incarnation: Cell::new(None),
+            last_received: Cell::new(Millis(0)),
+            unanswered_pings: Cell::new(None),
+            is_suspect: Cell::new(false),
             rank: watcher::Rank::of(node),
             zone: RefCell::new(None),
-            is_able: Cell::new(true),
-            foreign: Cell::new(false),
-            broken: Notify::new(),
+            reaches_store: Cell::new(true),
+            mismatch_logged: Cell::new(false),
+            dead: Notify::new(),
             task: RefCell::new(None),
         });
-        let task = carrier::keep(state.clone(), link.clone());
+        let task = carrier::maintain(state.clone(), link.clone());
         let task = tokio::task::spawn_local(task);
         *link.task.borrow_mut() = Some(task.abort_handle());
         link
     }
 
-    /// True if calls can be sent.
+    /// True if the link is connected.
     pub fn is_up(&self) -> bool {
-        self.out.borrow().is_some()
+        self.outgoing.borrow().is_some()
     }
 
-    /// True if calls can be sent and the other node answers.
-    pub fn is_sound(&self) -> bool {
-        self.is_up() && !self.suspected.get()
+    /// True if the link is connected and not suspect.
+    pub fn is_healthy(&self) -> bool {
+        self.is_up() && !self.is_suspect.get()
     }
 
-    /// The place of the other node, if it is in this zone, can be reached and
-    /// reaches the store.
-    pub fn watcher(&self, zone: &Zone) -> Option<watcher::Rank> {
-        let reached = self.is_sound();
-        let here = self.zone.borrow().as_ref() == Some(zone);
-        (reached && here && self.is_able.get()).then_some(self.rank)
+    /// The rank of the peer as a candidate for watching the store: `None`
+    /// unless it is in this zone, its link is healthy and it reaches the
+    /// store.
+    pub fn watcher_rank(&self, zone: &Zone) -> Option<watcher::Rank> {
+        let is_healthy = self.is_healthy();
+        let in_zone = self.zone.borrow().as_ref() == Some(zone);
+        (is_healthy && in_zone && self.reaches_store.get())
+            .then_some(self.rank)
     }
 
-    /// Ends the link for good.
+    /// Closes the link for good. The results of its pending calls are unknown.
     pub fn close(&self) {
         if let Some(task) = self.task.borrow_mut().take() {
             task.abort();
         }
-        self.out.borrow_mut().take();
-        self.fail(|_| true);
+        self.outgoing.borrow_mut().take();
+        self.fail_pending(|_| true);
     }
 
-    /// Sends a frame, if the link is up.
+    /// Sends a frame, if the link is connected.
     pub fn send(&self, frame: Frame) {
-        if let Some(out) = &*self.out.borrow() {
-            // The writer is gone: the link is about to be found broken.
-            let _ = out.send(frame);
+        if let Some(outgoing) = &*self.outgoing.borrow() {
+            // Fails if the writer has ended; the link is then about to close.
+            let _ = outgoing.send(frame);
         }
     }
 
-    /// Sends a call; `None` if the link is down, so that nothing was sent.
+    /// Sends a call and returns its number and the receiver of its reply.
+    /// Returns `None` if the link is down, in which case nothing was sent.
     pub fn call(
         &self,
         mut call: Call,
@@ -168,8 +170,8 @@
         if !self.is_up() {
             return None;
         }
-        let id = CallId(self.last.get() + 1);
-        self.last.set(id.0);
+        let id = CallId(self.last_call_id.get() + 1);
+        self.last_call_id.set(id.0);
         call.id = id;
         let (reply, receiver) = oneshot::channel();
         let pending = Pending { reply, effect: call.effect };
@@ -178,92 +180,97 @@
         Some((id, receiver))
     }
 
-    /// A call is no longer wanted.
+    /// Cancels a pending call.
     pub fn cancel(&self, id: CallId) {
         if self.pending.borrow_mut().remove(&id).is_some() {
             self.send(Frame::Cancel(id));
         }
     }
 
-    /// Looks after the link; called every [`LOOK`] or so.
+    /// Sends due pings and detects a suspect or dead link. Called at about
+    /// every [`CHECK_INTERVAL`]; `paused` tells that this process was stopped
+    /// since the last call.
     pub fn check(
         &self,
         state: &State,
         now: Millis,
-        idle: Millis,
+        idle_ping_interval: Millis,
         paused: bool,
     ) {
         if !self.is_up() {
             return;
         }
-        // This process itself stood still: what came meanwhile is unread.
+        // Data received during the pause has not been read yet.
         if paused {
-            self.heard.set(now);
-            self.unanswered.set(None);
+            self.last_received.set(now);
+            self.unanswered_pings.set(None);
         }
-        let Some((first, last)) = self.unanswered.get() else {
+        let Some((first, last)) = self.unanswered_pings.get() else {
             let busy = !self.pending.borrow().is_empty();
-            let quiet = if busy { QUIET } else { idle };
-            if now.since(self.heard.get()) >= quiet {
+            let interval =
+                if busy { PING_INTERVAL } else { idle_ping_interval };
+            if now.since(self.last_received.get()) >= interval {
                 self.ping(state, now, now);
             }
             return;
         };
         let waited = now.since(first);
-        if waited >= DEAD {
-            return self.broken.notify_one();
+        if waited >= DEAD_TIMEOUT {
+            return self.dead.notify_one();
         }
-        if waited >= SUSPECT {
+        if waited >= SUSPECT_TIMEOUT {
             self.suspect(state, now);
         }
-        if now.since(last) >= QUIET {
+        if now.since(last) >= PING_INTERVAL {
             self.ping(state, first, now);
         }
     }
 
     fn ping(&self, state: &State, first: Millis, now: Millis) {
-        self.unanswered.set(Some((first, now)));
+        self.unanswered_pings.set(Some((first, now)));
         self.send(Frame::Ping(state.edition()));
     }
 
-    /// Sends nothing new here until something is heard.
+    /// Marks the link as suspect until data is received again.
     fn suspect(&self, state: &State, now: Millis) {
-        if self.suspected.replace(true) {
+        if self.is_suspect.replace(true) {
             return;
         }
         state.balance.borrow_mut().down(self.node, Millis::NEVER);
         let fields = [
             ("peer", self.node.to_string().into()),
-            ("silent_ms", now.since(self.heard.get()).0.into()),
+            ("silent_ms", now.since(self.last_received.get()).0.into()),
             ("calls", self.pending.borrow().len().into()),
         ];
         state.journal.change(now, Event::Suspect, &fields);
     }
 
-    /// Something was heard.
-    fn hear(&self, state: &State) {
+    /// Records that data was received, which ends a suspicion.
+    fn record_received(&self, state: &State) {
         let now = state.now();
-        self.heard.set(now);
-        self.unanswered.set(None);
-        if !self.suspected.replace(false) {
+        self.last_received.set(now);
+        self.unanswered_pings.set(None);
+        if !self.is_suspect.replace(false) {
             return;
         }
         state.balance.borrow_mut().down(self.node, Millis(0));
         let fields = [
             ("peer", self.node.to_string().into()),
-            ("why", "it answers again".into()),
+            ("why", "the peer responds again".into()),
         ];
         state.journal.change(now, Event::Regained, &fields);
     }
 
-    fn settle(&self, id: CallId, reply: Reply) {
+    /// Delivers the reply of a pending call.
+    fn complete(&self, id: CallId, reply: Reply) {
         if let Some(pending) = self.pending.borrow_mut().remove(&id) {
-            // The request may have ended at the same moment.
+            // Fails if the request has just ended.
             let _ = pending.reply.send(reply);
         }
     }
 
-    fn fail(&self, which: impl Fn(Effect) -> bool) {
+    /// Ends the pending calls of these effects with an unknown result.
+    fn fail_pending(&self, which: impl Fn(Effect) -> bool) {
         let mut pending = self.pending.borrow_mut();
         let ids: Vec<CallId> = pending
             .iter()
--- a/crates/walnutmoor/src/mesh/link/carrier.rs
+++ b/crates/walnutmoor/src/mesh/link/carrier.rs
@@ -1,5 +1,6 @@
 /*!
-The connection under a link: opens it, carries frames, and opens it again.
+The TCP connection of a link: connects, exchanges frames, and reconnects when
+it breaks.
 */
 
 use std::{io, rc::Rc, time::Duration};
@@ -21,45 +22,47 @@
 use super::Link;
 use crate::mesh::{
     desired::Source,
-    frame::{self, Frame, Hello, PROTOCOL},
+    frame::{self, Frame, Hello, PROTOCOL_VERSION},
     journal::Event,
     state::State,
     suspicion::PEER,
 };
 
-/// How long opening a connection and the first frames may take. A round
-/// trip between zones takes a millisecond, a slowed node some tens.
-const OPEN_WITHIN: Duration = Duration::from_millis(500);
+/// How long connecting and the handshake may take.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The shortest pause between tries to open.
-const PAUSE_MIN: Duration = Duration::from_millis(50);
+/// The backoff before the first attempt to reconnect.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
 
-/// The longest pause between tries to open: a node that comes back is
-/// reached again within this.
-const PAUSE_MAX: Duration = Duration::from_millis(800);
+/// The longest backoff between attempts to connect. A restarted node is
+/// reached again within this time.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// How long idempotent calls of a broken link wait for it to open again
-/// before they are sent elsewhere.
-const RESUME_WITHIN: Duration = Duration::from_millis(250);
+/// How long idempotent calls of a broken link wait for it to reconnect before
+/// they fail and may be retried at other nodes.
+const RESUME_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Keeps a link open: opens it again whenever it breaks.
-pub(super) async fn keep(state: Rc<State>, link: Rc<Link>) {
-    let mut pause = PAUSE_MIN;
+/// Connects a link, and reconnects it with exponential backoff whenever it
+/// breaks.
+pub(super) async fn maintain(state: Rc<State>, link: Rc<Link>) {
+    let mut backoff = MIN_BACKOFF;
     loop {
-        let opened = timeout(OPEN_WITHIN, open(&state, &link)).await;
+        let opened = timeout(OPEN_TIMEOUT, open(&state, &link)).await;
         if let Ok(Ok((stream, hello))) = opened {
-            pause = PAUSE_MIN;
-            begin(&state, &link, &hello);
-            let why = carry(&state, &link, stream, hello.edition).await;
-            end(&state, &link, &why);
+            backoff = MIN_BACKOFF;
+            on_open(&state, &link, &hello);
+            let why = run(&state, &link, stream, hello.edition).await;
+            on_close(&state, &link, &why);
         }
-        sleep(pause).await;
-        pause = (pause * 2).min(PAUSE_MAX);
+        sleep(backoff).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
+/// Both halves of a connection, and the bytes received after the handshake.
 type Stream = (OwnedReadHalf, OwnedWriteHalf, BytesMut);
 
+/// Connects to the peer and exchanges the handshake.
 async fn open(
     state: &Rc<State>,
     link: &Rc<Link>,
@@ -73,11 +76,13 @@
     bytes.clear();
     loop {
         match frame::decode(&mut bytes).map_err(io::Error::other)? {
-            Some(Frame::Hello(hello)) if hello.protocol == PROTOCOL => {
+            Some(Frame::Hello(hello))
+                if hello.protocol == PROTOCOL_VERSION =>
+            {
                 return Ok(((read, write, bytes), hello));
             }
             Some(Frame::Hello(hello)) => {
-                note_foreign(state, link, hello.protocol);
+                log_protocol_mismatch(state, link, hello.protocol);
                 return Err(io::ErrorKind::Unsupported.into());
             }
             Some(_) => return Err(io::ErrorKind::InvalidData.into()),
@@ -89,35 +94,37 @@
     }
 }
 
-/// Logs once that a node speaks another form of frames.
-fn note_foreign(state: &State, link: &Link, protocol: u32) {
-    if link.foreign.replace(true) {
+/// Logs, once per link, that the peer has another protocol version.
+fn log_protocol_mismatch(state: &State, link: &Link, protocol: u32) {
+    if link.mismatch_logged.replace(true) {
         return;
     }
-    let why = format!("{} speaks protocol {protocol}", link.node);
+    let why = format!("{} has protocol version {protocol}", link.node);
     state.journal.change(state.now(), Event::Fault, &[("why", why.into())]);
 }
 
-fn begin(state: &Rc<State>, link: &Rc<Link>, hello: &Hello) {
+/// Updates the state after the handshake.
+fn on_open(state: &Rc<State>, link: &Rc<Link>, hello: &Hello) {
     let now = state.now();
-    if link.life.replace(Some(hello.life)) != Some(hello.life) {
-        // Another life has seen none of these calls and knows nothing of
-        // what the former one did with them.
-        link.fail(|_| true);
+    if link.incarnation.replace(Some(hello.incarnation))
+        != Some(hello.incarnation)
+    {
+        // The new incarnation does not know the calls sent to the former one.
+        link.fail_pending(|_| true);
     }
     let mut balance = state.balance.borrow_mut();
     balance.join(link.node, &hello.service, &hello.zone);
     balance.down(link.node, Millis(0));
     drop(balance);
     state.report(link.node, hello.load);
-    link.heard.set(now);
-    link.unanswered.set(None);
-    link.suspected.set(false);
+    link.last_received.set(now);
+    link.unanswered_pings.set(None);
+    link.is_suspect.set(false);
     *link.zone.borrow_mut() = Some(hello.zone.clone());
     let fields = [
         ("peer", link.node.to_string().into()),
         ("service", hello.service.as_str().into()),
-        ("life", hello.life.0.into()),
+        ("life", hello.incarnation.0.into()),
     ];
     state.journal.change(now, Event::Regained, &fields);
     for node in &hello.known {
@@ -127,9 +134,12 @@
     state.hear_era(hello.era);
 }
 
-fn end(state: &Rc<State>, link: &Rc<Link>, why: &str) {
+/// Marks the peer as down and fails its idempotent calls unless the link
+/// reconnects in time. Other calls stay pending, since only the peer knows
+/// whether they ran.
+fn on_close(state: &Rc<State>, link: &Rc<Link>, why: &str) {
     let now = state.now();
-    link.out.borrow_mut().take();
+    link.outgoing.borrow_mut().take();
     state.balance.borrow_mut().down(link.node, Millis::NEVER);
     let fields = [
         ("peer", link.node.to_string().into()),
@@ -139,55 +149,62 @@
     state.journal.change(now, Event::Lost, &fields);
     let link = link.clone();
     tokio::task::spawn_local(async move {
-        sleep(RESUME_WITHIN).await;
+        sleep(RESUME_TIMEOUT).await;
         if !link.is_up() {
-            link.fail(|effect| effect == Effect::Idempotent);
+            link.fail_pending(|effect| effect == Effect::Idempotent);
         }
     });
 }
 
-async fn carry(
+/// Exchanges frames until the connection ends, and returns why it ended.
+async fn run(
     state: &Rc<State>,
     link: &Rc<Link>,
     stream: Stream,
-    theirs: Edition,
+    peer_edition: Edition,
 ) -> String {
     let (read, write, bytes) = stream;
-    let (out, frames) = unbounded_channel();
+    let (outgoing, frames) = unbounded_channel();
     let ids: Vec<CallId> = link.pending.borrow().keys().copied().collect();
     if !ids.is_empty() {
-        // Comes first, so that the peer has seen no later call.
-        let _ = out.send(Frame::Query(ids));
+        // Must precede all new calls: the peer tells calls that it never
+        // received by their greater numbers.
+        let _ = outgoing.send(Frame::Query(ids));
     }
-    // A new life of the peer must not take up an instance again that has
-    // left, whatever its health says: it may serve on for some seconds.
-    let former = state.departed(link.node);
-    if !former.is_empty() {
-        let _ = out.send(Frame::Former(former));
+    // A restarted peer must not use an instance that has announced its
+    // departure, even if its health check still succeeds.
+    let departed = state.departed(link.node);
+    if !departed.is_empty() {
+        let _ = outgoing.send(Frame::KnownDepartures(departed));
     }
     if let Some(instance) = state.serve.departed() {
-        let _ = out.send(Frame::Departed(instance));
+        let _ = outgoing.send(Frame::Departed(instance));
     }
     if let Some(evidence) = state.known_evidence() {
-        let _ = out.send(evidence);
+        let _ = outgoing.send(evidence);
     }
-    let _ = out.send(Frame::Ping(state.edition()));
-    *link.out.borrow_mut() = Some(out);
-    state.told(theirs, link.node);
+    let _ = outgoing.send(Frame::Ping(state.edition()));
+    *link.outgoing.borrow_mut() = Some(outgoing);
+    state.told(peer_edition, link.node);
     tokio::select! {
         end = receive(state, link, read, bytes) => match end {
             Ok(()) => "closed by the peer".into(),
             Err(error) => error.to_string(),
         },
         end = transmit(write, frames) => match end {
-            Ok(()) => "closed here".into(),
+            Ok(()) => "closed locally".into(),
             Err(error) => error.to_string(),
         },
-        () = link.broken.notified() => "silent".into(),
+        () = link.dead.notified() => "silent".into(),
     }
 }
 
-/// Writes frames, all that wait in one system call.
+/// Writes frames until the channel closes. Frames that wait together are
+/// written together.
+///
+/// # Errors
+///
+/// If the connection breaks.
 pub async fn transmit(
     mut write: OwnedWriteHalf,
     mut frames: UnboundedReceiver<Frame>,
@@ -195,8 +212,8 @@
     let mut bytes = BytesMut::new();
     while let Some(first) = frames.recv().await {
         frame::encode(&first, &mut bytes);
-        while let Ok(more) = frames.try_recv() {
-            frame::encode(&more, &mut bytes);
+        while let Ok(next) = frames.try_recv() {
+            frame::encode(&next, &mut bytes);
         }
         write.write_all(&bytes).await?;
         recycle(&mut bytes);
@@ -204,11 +221,11 @@
     Ok(())
 }
 
-/// Keeps a buffer for reuse, unless one long body has made it large. Each
-/// node holds one for each link at either end.
+/// Clears a buffer for reuse, or frees it if a long frame has made it large.
+/// There is one for each link at either end.
 fn recycle(bytes: &mut BytesMut) {
-    const KEEP: usize = 4 << 10;
-    match bytes.capacity() > KEEP {
+    const MAX_KEPT_BYTES: usize = 4 << 10;
+    match bytes.capacity() > MAX_KEPT_BYTES {
         true => *bytes = BytesMut::new(),
         false => bytes.clear(),
     }
@@ -224,32 +241,34 @@
         while let Some(frame) =
             frame::decode(&mut bytes).map_err(io::Error::other)?
         {
-            take(state, link, frame);
+            handle_frame(state, link, frame);
         }
         if frame::fill(&mut read, &mut bytes).await? == 0 {
             return Ok(());
         }
-        link.hear(state);
+        link.record_received(state);
     }
 }
 
-fn take(state: &Rc<State>, link: &Rc<Link>, frame: Frame) {
+fn handle_frame(state: &Rc<State>, link: &Rc<Link>, frame: Frame) {
     match frame {
         Frame::Answer(id, reply, load) => {
             state.report(link.node, load);
-            link.settle(id, reply);
+            link.complete(id, reply);
         }
-        Frame::Pong(edition, able, load) => {
-            link.is_able.set(able);
+        Frame::Pong(edition, reaches_store, load) => {
+            link.reaches_store.set(reaches_store);
             state.report(link.node, load);
             state.told(edition, link.node);
         }
         Frame::Desired(stamp, raw) => {
             state.adopt(stamp, raw, Source::Peer);
         }
-        Frame::Evidence(told) => state.hear(&told, PEER),
-        Frame::Granted(account, answer) => state.granted(&account, answer),
-        // The rest travels the other way.
+        Frame::Evidence(evidence) => state.hear(&evidence, PEER),
+        Frame::QuotaResponse(account, response) => {
+            state.granted(&account, response)
+        }
+        // All other frames are sent only in the other direction.
         _ => {}
     }
 }
--- a/crates/walnutmoor/src/mesh/node.rs
+++ b/crates/walnutmoor/src/mesh/node.rs
@@ -20,7 +20,7 @@
     ingress,
     instance::Outcome,
     journal::{Event, Journal},
-    link::{self, LOOK},
+    link::{self, CHECK_INTERVAL},
     peer,
     settings::Settings,
     state::{Phase, State},
@@ -151,14 +151,14 @@
 /// Looks after links and connections.
 async fn tick(state: Rc<State>) {
     let mut last = state.now();
-    let mut timer = interval(Duration::from_millis(LOOK.0));
+    let mut timer = interval(Duration::from_millis(CHECK_INTERVAL.0));
     loop {
         timer.tick().await;
         let now = state.now();
-        let paused = now.since(last) > LOOK + PAUSED;
+        let paused = now.since(last) > CHECK_INTERVAL + PAUSED;
         last = now;
         let links = state.links();
-        let idle = link::idle(links.len());
+        let idle = link::idle_ping_interval(links.len());
         for link in links {
             link.check(&state, now, idle, paused);
         }
--- a/crates/walnutmoor/src/mesh/output.rs
+++ b/crates/walnutmoor/src/mesh/output.rs
@@ -1,15 +1,15 @@
 /*!
-Bytes that wait to be written to a caller.
+The queue of bytes to be written to a caller.
 
-Heads and bodies stand in a row as they are, so that one system call writes
-several of them and no body is copied.
+Response heads and bodies are queued without copying, and vectored writes send
+several of them in one system call.
 */
 
 use std::{collections::VecDeque, io::IoSlice};
 
 use bytes::{Buf, Bytes};
 
-/// Bytes in order.
+/// A queue of byte buffers, read in order through [`Buf`].
 #[derive(Debug, Default)]
 pub struct Output {
     parts: VecDeque<Bytes>,
@@ -17,7 +17,7 @@
 }
 
 impl Output {
-    /// Adds bytes behind all others.
+    /// Appends bytes to the queue.
     pub fn push(&mut self, part: Bytes) {
         if part.is_empty() {
             return;
--- a/crates/walnutmoor/src/mesh/peer.rs
+++ b/crates/walnutmoor/src/mesh/peer.rs
@@ -1,8 +1,8 @@
 /*!
-The other end of links: takes calls of other nodes and answers them.
+The server side of links: accepts calls from other nodes and replies to them.
 
-Answers are kept for a while, as the link may break before the other node has
-read them and it will ask again.
+Replies are retained for a while. If the link breaks before the other node has
+read them, it queries for them after reconnecting.
 */
 
 use std::{
@@ -31,7 +31,7 @@
 };
 
 use super::{
-    frame::{self, Frame, Hello, PROTOCOL, Reply},
+    frame::{self, Frame, Hello, PROTOCOL_VERSION, Reply},
     journal::Event,
     link::transmit,
     serve::Sink,
@@ -39,74 +39,77 @@
     suspicion::PEER,
 };
 
-/// A link on which nothing comes for this long is closed. The other node pings
-/// more often than this up to a thousand links; beyond, links that were cut
-/// off without a word are closed too early rather than kept for ever, and
-/// opened again.
-const IDLE: Duration = Duration::from_secs(30);
+/// The time without received data after which a link is closed. Normally the
+/// other node pings more often; in a very large fleet it may not, and reopens
+/// the link.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How long the first frame may take.
-const HELLO_WITHIN: Duration = Duration::from_secs(1);
+const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long an answer is kept: links open again within a second.
-const KEEP: Millis = Millis(3_000);
+/// How long a reply is retained. Exceeds the time in which a link reconnects.
+const REPLY_RETENTION: Millis = Millis(3_000);
 
-/// Answers kept for one node at most; at 6 KB each some 1.5 MB.
-const KEEP_MAX: usize = 256;
+/// The number of replies retained per session at most.
+const MAX_RETAINED_REPLIES: usize = 256;
 
-/// What is known of one life of another node.
+/// The calls of one incarnation of another node.
 #[derive(Debug)]
 pub struct Session {
-    out: RefCell<Option<UnboundedSender<Frame>>>,
-    reader: RefCell<Option<AbortHandle>>,
-    /// The last call that was seen. Calls are numbered in the order of
-    /// their sending, and an older connection is closed before a newer one
-    /// is read, so a greater number was never seen and never will be.
-    top: Cell<u64>,
+    outgoing: RefCell<Option<UnboundedSender<Frame>>>,
+    task: RefCell<Option<AbortHandle>>,
+    /// The greatest call number received. Calls are numbered in the order of
+    /// sending, and an older connection is closed before a newer one is read,
+    /// so a queried call with a greater number was lost for good.
+    last_call_id: Cell<u64>,
+    /// The calls in progress, with their numbers on this node.
     running: RefCell<Map<CallId, CallId>>,
-    kept: RefCell<VecDeque<(Millis, CallId, Reply)>>,
+    retained: RefCell<VecDeque<(Millis, CallId, Reply)>>,
 }
 
 impl Session {
     fn new() -> Rc<Session> {
         Rc::new(Session {
-            out: RefCell::new(None),
-            reader: RefCell::new(None),
-            top: Cell::new(0),
+            outgoing: RefCell::new(None),
+            task: RefCell::new(None),
+            last_call_id: Cell::new(0),
             running: RefCell::new(Map::default()),
-            kept: RefCell::new(VecDeque::new()),
+            retained: RefCell::new(VecDeque::new()),
         })
     }
 
-    /// Sends a frame, if the other node is linked.
+    /// Sends a frame, if the other node is connected.
     pub fn send(&self, frame: Frame) {
-        if let Some(out) = &*self.out.borrow() {
-            // A broken link: the answer is kept and will be asked for.
-            let _ = out.send(frame);
+        if let Some(outgoing) = &*self.outgoing.borrow() {
+            // Fails if the link has broken. The other node then queries for
+            // its replies.
+            let _ = outgoing.send(frame);
         }
     }
 
-    /// A call has ended.
+    /// Sends and retains the reply to a call, unless it was canceled.
     pub fn reply(&self, state: &State, id: CallId, reply: Reply) {
         let now = state.now();
         if self.running.borrow_mut().remove(&id).is_none() {
-            // It was canceled: nobody waits.
             return;
         }
-        let mut kept = self.kept.borrow_mut();
-        while let Some((at, _, _)) = kept.front() {
-            if now.since(*at) <= KEEP && kept.len() < KEEP_MAX {
+        let mut retained = self.retained.borrow_mut();
+        while let Some((at, _, _)) = retained.front() {
+            if now.since(*at) <= REPLY_RETENTION
+                && retained.len() < MAX_RETAINED_REPLIES
+            {
                 break;
             }
-            kept.pop_front();
+            retained.pop_front();
         }
-        kept.push_back((now, id, reply.clone()));
-        drop(kept);
+        retained.push_back((now, id, reply.clone()));
+        drop(retained);
         self.send(Frame::Answer(id, reply, state.serve.load(state.now())));
     }
 
-    fn find(&self, id: CallId) -> Option<Reply> {
-        if id.0 > self.top.get() {
+    /// The reply to a queried call; `None` if it is still running.
+    fn find_reply(&self, id: CallId) -> Option<Reply> {
+        if id.0 > self.last_call_id.get() {
             let retry = Millis(0);
             let kind = Kind::Unreachable;
             return Some(Reply::NotRun { kind, retry, reached: false });
@@ -114,15 +117,15 @@
         if self.running.borrow().contains_key(&id) {
             return None;
         }
-        let kept = self.kept.borrow();
-        let found = kept.iter().find(|(_, other, _)| *other == id);
+        let retained = self.retained.borrow();
+        let found = retained.iter().find(|(_, other, _)| *other == id);
         let unknown = Reply::Unknown(Kind::AnswerGone);
         Some(found.map_or(unknown, |(_, _, reply)| reply.clone()))
     }
 }
 
-/// Sessions kept at most; each is small once its calls have ended.
-const SESSIONS_MAX: usize = 4_096;
+/// The number of sessions above which disconnected ones are removed.
+const MAX_SESSIONS: usize = 4_096;
 
 /// Accepts links until the process ends.
 pub async fn listen(state: Rc<State>, listener: TcpListener) {
@@ -141,35 +144,38 @@
     }
 }
 
+/// Completes the handshake of a connection and takes over its session.
 async fn accept(state: Rc<State>, stream: TcpStream) {
-    // Only a delay would follow.
+    // A failure only costs latency.
     let _ = stream.set_nodelay(true);
     let (mut read, write) = stream.into_split();
     let mut bytes = BytesMut::new();
-    let first = timeout(HELLO_WITHIN, hello(&mut read, &mut bytes)).await;
+    let first =
+        timeout(HELLO_TIMEOUT, read_hello(&mut read, &mut bytes)).await;
     let Ok(Ok(hello)) = first else {
         return;
     };
-    let session = session(&state, hello.life);
-    if let Some(older) = session.reader.borrow_mut().take() {
+    let session = session(&state, hello.incarnation);
+    if let Some(older) = session.task.borrow_mut().take() {
         older.abort();
     }
-    let (out, frames) = unbounded_channel();
-    let _ = out.send(Frame::Hello(state.hello()));
+    let (outgoing, frames) = unbounded_channel();
+    let _ = outgoing.send(Frame::Hello(state.hello()));
     if let Some(evidence) = state.known_evidence() {
-        let _ = out.send(evidence);
+        let _ = outgoing.send(evidence);
     }
-    *session.out.borrow_mut() = Some(out);
+    *session.outgoing.borrow_mut() = Some(outgoing);
     state.learn(hello.node);
     state.quotas.hear_of(hello.fleet);
     state.hear_era(hello.era);
     let task =
-        carry(state, session.clone(), (read, bytes), write, frames, hello);
+        run(state, session.clone(), (read, bytes), write, frames, hello);
     let task = tokio::task::spawn_local(task);
-    *session.reader.borrow_mut() = Some(task.abort_handle());
+    *session.task.borrow_mut() = Some(task.abort_handle());
 }
 
-async fn carry(
+/// Exchanges frames until the connection ends.
+async fn run(
     state: Rc<State>,
     session: Rc<Session>,
     (read, bytes): (OwnedReadHalf, BytesMut),
@@ -178,29 +184,33 @@
     hello: Hello,
 ) {
     tokio::select! {
-        // How the link ended does not matter: the other node opens it anew.
+        // Errors are ignored: the other node reopens the link.
         _ = receive(&state, &session, read, bytes, hello) => {}
         _ = transmit(write, frames) => {}
     }
-    // A newer connection would have ended this task first.
-    session.out.borrow_mut().take();
+    // The session is still this task's: a newer connection aborts the task
+    // before it takes the session over.
+    session.outgoing.borrow_mut().take();
 }
 
-fn session(state: &State, life: Incarnation) -> Rc<Session> {
+/// The session of an incarnation, created if needed.
+fn session(state: &State, incarnation: Incarnation) -> Rc<Session> {
     let mut sessions = state.sessions.borrow_mut();
-    if sessions.len() >= SESSIONS_MAX {
-        sessions.retain(|_, session| session.out.borrow().is_some());
+    if sessions.len() >= MAX_SESSIONS {
+        sessions.retain(|_, session| session.outgoing.borrow().is_some());
     }
-    sessions.entry(life).or_insert_with(Session::new).clone()
+    sessions.entry(incarnation).or_insert_with(Session::new).clone()
 }
 
-async fn hello(
+async fn read_hello(
     read: &mut OwnedReadHalf,
     bytes: &mut BytesMut,
 ) -> io::Result<Hello> {
     loop {
         match frame::decode(bytes).map_err(io::Error::other)? {
-            Some(Frame::Hello(hello)) if hello.protocol == PROTOCOL => {
+            Some(Frame::Hello(hello))
+                if hello.protocol == PROTOCOL_VERSION =>
+            {
                 return Ok(hello);
             }
             Some(_) => return Err(io::ErrorKind::InvalidData.into()),
@@ -223,9 +233,9 @@
         while let Some(frame) =
             frame::decode(&mut bytes).map_err(io::Error::other)?
         {
-            take(state, session, frame, &hello);
+            handle_frame(state, session, frame, &hello);
         }
-        match timeout(IDLE, frame::fill(&mut read, &mut bytes)).await {
+        match timeout(IDLE_TIMEOUT, frame::fill(&mut read, &mut bytes)).await {
             Ok(Ok(0)) => return Ok(()),
             Ok(Ok(_)) => {}
             Ok(Err(error)) => return Err(error),
@@ -234,7 +244,7 @@
     }
 }
 
-fn take(
+fn handle_frame(
     state: &Rc<State>,
     session: &Rc<Session>,
     frame: Frame,
@@ -243,21 +253,21 @@
     match frame {
         Frame::Call(call) => {
             let id = call.id;
-            session.top.set(session.top.get().max(id.0));
-            let local = state.serve.number();
-            session.running.borrow_mut().insert(id, local);
+            session.last_call_id.set(session.last_call_id.get().max(id.0));
+            let local_id = state.serve.number();
+            session.running.borrow_mut().insert(id, local_id);
             let sink = Sink::Remote(session.clone(), id);
-            state.serve.submit(state, local, *call, sink);
+            state.serve.submit(state, local_id, *call, sink);
         }
         Frame::Cancel(id) => {
-            let local = session.running.borrow_mut().remove(&id);
-            if let Some(local) = local {
-                state.serve.cancel(state, local);
+            let local_id = session.running.borrow_mut().remove(&id);
+            if let Some(local_id) = local_id {
+                state.serve.cancel(state, local_id);
             }
         }
         Frame::Query(ids) => {
             for id in ids {
-                if let Some(reply) = session.find(id) {
+                if let Some(reply) = session.find_reply(id) {
                     let load = state.serve.load(state.now());
                     session.send(Frame::Answer(id, reply, load));
                 }
@@ -265,24 +275,26 @@
         }
         Frame::Ping(edition) => {
             let load = state.serve.load(state.now());
-            let able = state.is_able();
-            session.send(Frame::Pong(state.edition(), able, load));
+            let reaches_store = state.is_able();
+            session.send(Frame::Pong(state.edition(), reaches_store, load));
             state.told(edition, hello.node);
         }
-        Frame::Ask(account, ask) => {
-            let answer = state.allot(&account, ask);
-            session.send(Frame::Granted(account, answer));
+        Frame::QuotaRequest(account, request) => {
+            let response = state.allot(&account, request);
+            session.send(Frame::QuotaResponse(account, response));
         }
         Frame::Departed(instance) => state.note_departed(hello.node, instance),
-        Frame::Evidence(told) => state.hear(&told, PEER),
-        Frame::Former(instances) => state.serve.note_former(state, instances),
+        Frame::Evidence(evidence) => state.hear(&evidence, PEER),
+        Frame::KnownDepartures(instances) => {
+            state.serve.note_former(state, instances)
+        }
         Frame::Era(era) => state.hear_era(era),
         Frame::Fetch => {
             if let Some(desired) = state.desired() {
                 session.send(desired);
             }
         }
-        // The rest travels the other way.
+        // All other frames are sent only in the other direction.
         _ => {}
     }
 }
--- a/crates/walnutmoor/src/mesh/quotas.rs
+++ b/crates/walnutmoor/src/mesh/quotas.rs
@@ -292,8 +292,10 @@
                 let answer = self.allot(account, ask);
                 self.granted(account, answer);
             }
-            Some(node) => match self.link(node).filter(|l| l.is_sound()) {
-                Some(link) => link.send(Frame::Ask(account.clone(), ask)),
+            Some(node) => match self.link(node).filter(|l| l.is_healthy()) {
+                Some(link) => {
+                    link.send(Frame::QuotaRequest(account.clone(), ask))
+                }
                 None => self.give_up_on_allocator(account),
             },
             None => self.give_up_on_allocator(account),
@@ -368,7 +370,7 @@
             0 => 0,
             known => known.max(links.len() + 1),
         };
-        let sound = |link: Rc<Link>| link.is_sound().then_some(link.node);
+        let sound = |link: Rc<Link>| link.is_healthy().then_some(link.node);
         let mut nodes: Vec<NodeId> =
             links.into_iter().filter_map(sound).collect();
         nodes.push(self.me);
--- a/crates/walnutmoor/src/mesh/run.rs
+++ b/crates/walnutmoor/src/mesh/run.rs
@@ -40,14 +40,16 @@
         finish(&state, id, not_run(Kind::Deadline, false), false);
         return;
     }
-    if call.repeat || call.echo {
+    if call.is_retry || call.parent_is_retry {
         serve.repeated.set(serve.repeated.get() + 1);
     }
-    if call.echo && !call.repeat {
+    if call.parent_is_retry && !call.is_retry {
         serve.repeats.borrow_mut().record_nested(now);
     }
-    let parent =
-        Parent { priority: call.priority, repeat: call.repeat || call.echo };
+    let parent = Parent {
+        priority: call.priority,
+        repeat: call.is_retry || call.parent_is_retry,
+    };
     let run = Run { parent, footprint: Footprint::default() };
     serve.runs.borrow_mut().insert(call.attempt.clone(), run);
     serve.arrivals.set(serve.arrivals.get() + 1);
--- a/crates/walnutmoor/src/mesh/serve.rs
+++ b/crates/walnutmoor/src/mesh/serve.rs
@@ -140,8 +140,8 @@
             attempt: call.attempt.clone(),
             fingerprint: call.fingerprint,
             effect: call.effect,
-            deadline: now + call.left,
-            caller_deadline: now + call.caller_left,
+            deadline: now + call.time_left,
+            caller_deadline: now + call.caller_time_left,
             call: Some(call),
             sink: Some(sink),
             task: None,
@@ -403,12 +403,12 @@
     /// repeat. False if it is one too many.
     fn count(&self, now: Millis, call: &Call) -> bool {
         let mut repeats = self.repeats.borrow_mut();
-        if call.repeat {
+        if call.is_retry {
             let sample_key = SampleKey::of(header::root(&call.attempt));
             let priority = Priority { rank: call.priority, sample_key };
             return repeats.try_retry_for(now, priority);
         }
-        if !call.moved && !call.echo {
+        if !call.moved && !call.parent_is_retry {
             repeats.record_request(now);
         }
         true
--- a/crates/walnutmoor/src/mesh/state.rs
+++ b/crates/walnutmoor/src/mesh/state.rs
@@ -23,7 +23,7 @@
 
 use super::{
     desired::Desired,
-    frame::{Frame, Hello, PROTOCOL},
+    frame::{Frame, Hello, PROTOCOL_VERSION},
     journal::{Event, Journal},
     link::Link,
     peer::Session,
@@ -228,9 +228,9 @@
     /// What this node says of itself on a new link.
     pub fn hello(&self) -> Hello {
         Hello {
-            protocol: PROTOCOL,
+            protocol: PROTOCOL_VERSION,
             node: self.me,
-            life: self.life,
+            incarnation: self.life,
             zone: self.settings.zone.clone(),
             service: self.settings.service.clone(),
             edition: self.edition(),
--- a/crates/walnutmoor/src/mesh/wire.rs
+++ b/crates/walnutmoor/src/mesh/wire.rs
@@ -1,5 +1,6 @@
 /*!
-Headers between `http` and frames, and answers that this node makes itself.
+Converts headers between `http` and frames, and builds the responses to
+callers.
 */
 
 use bytes::Bytes;
@@ -9,20 +10,20 @@
 
 use super::frame::Headers;
 
-/// An answer to a caller.
+/// A response to a caller.
 pub type Answer = Response<Bytes>;
 
-/// Headers as they travel between nodes.
+/// Converts headers to the form used in frames.
 pub fn pack(headers: &HeaderMap) -> Headers {
-    let pair = |(name, value): (&HeaderName, &HeaderValue)| {
+    let to_pair = |(name, value): (&HeaderName, &HeaderValue)| {
         let value = Bytes::copy_from_slice(value.as_bytes());
         (name.as_str().to_string(), value)
     };
-    headers.iter().map(pair).collect()
+    headers.iter().map(to_pair).collect()
 }
 
-/// Headers as `http` has them. What a peer packed was legal, so nothing is
-/// left out.
+/// Converts headers from the form used in frames. Invalid ones are left out;
+/// [`pack`] creates none.
 pub fn unpack(headers: Headers) -> HeaderMap {
     let mut map = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
@@ -35,7 +36,7 @@
     map
 }
 
-/// An instance's answer, for the caller.
+/// The response to a caller from the parts of an instance's response.
 pub fn answer(status: u16, headers: Headers, body: Bytes) -> Answer {
     let mut answer = Response::new(body);
     let status = StatusCode::from_u16(status);
@@ -44,23 +45,23 @@
     answer
 }
 
-/// An answer of this node's own: the request was not run.
+/// The response to a request that did not run, with a `Retry-After` header.
 ///
-/// The statuses 429 and 503 promise that it never will be, which is why no
-/// other refusal is given for work that was not run.
-pub fn refuse(kind: Kind, retry: Millis) -> Answer {
+/// The statuses 429 and 503 guarantee that the request did not run and will
+/// not run later.
+pub fn refuse(kind: Kind, retry_after: Millis) -> Answer {
     let status = match kind {
         Kind::Budget | Kind::OverQuota => 429,
         _ => 503,
     };
     let mut answer = plain(status, kind);
-    let (name, value) = header::come_back(retry);
+    let (name, value) = header::come_back(retry_after);
     answer.headers_mut().insert(name, value);
     answer
 }
 
-/// An answer of this node's own that promises nothing, or that no repeat
-/// would change.
+/// The response to a request that may have run, or for which a retry would
+/// give the same result.
 pub fn fail(kind: Kind) -> Answer {
     let mut answer = plain(kind.status(), kind);
     if kind == Kind::UnknownKey {
@@ -70,12 +71,13 @@
     answer
 }
 
+/// A plain-text response with the name of the kind as its body.
 fn plain(status: u16, kind: Kind) -> Answer {
     let body = Bytes::from_static(kind.as_str().as_bytes());
     let mut answer = Response::new(body);
     let status = StatusCode::from_u16(status);
     *answer.status_mut() = status.unwrap_or(StatusCode::BAD_GATEWAY);
-    let text = HeaderValue::from_static("text/plain");
-    answer.headers_mut().insert(http::header::CONTENT_TYPE, text);
+    let content_type = HeaderValue::from_static("text/plain");
+    answer.headers_mut().insert(http::header::CONTENT_TYPE, content_type);
     answer
 }
--- a/crates/walnutmoor/tests/mesh/resume.rs
+++ b/crates/walnutmoor/tests/mesh/resume.rs
@@ -9,7 +9,9 @@
     io::{AsyncReadExt, AsyncWriteExt},
     net::TcpStream,
 };
-use walnutmoor::mesh::frame::{self, Call, Frame, Hello, PROTOCOL, Reply};
+use walnutmoor::mesh::frame::{
+    self, Call, Frame, Hello, PROTOCOL_VERSION, Reply,
+};
 use walnutmoor_core::{
     bulkhead::Load,
     edition::Edition,
@@ -36,9 +38,9 @@
         // Nobody listens there: the node's own link to it stays down.
         let node = NodeId(([127, 0, 0, 1], 9).into());
         end.send(&Frame::Hello(Hello {
-            protocol: PROTOCOL,
+            protocol: PROTOCOL_VERSION,
             node,
-            life: Incarnation(life),
+            incarnation: Incarnation(life),
             zone: "a".parse().unwrap(),
             service: "front".parse().unwrap(),
             edition: Edition::default(),
@@ -93,10 +95,10 @@
         effect: Effect::Once,
         priority: 0,
         target: Millis(1_000),
-        left: Millis(20_000),
-        caller_left: Millis(20_000),
-        repeat: false,
-        echo: false,
+        time_left: Millis(20_000),
+        caller_time_left: Millis(20_000),
+        is_retry: false,
+        parent_is_retry: false,
         moved: false,
         method: "POST".into(),
         path: "/order/x".into(),
