--- a/crates/walnutmoor/tests/mesh/accounts.rs
+++ b/crates/walnutmoor/tests/mesh/accounts.rs
@@ -12,7 +12,7 @@
 };
 
 use crate::fixture::{
-    World, desired, headers, is_promise, route, routes, run, until,
+    World, desired, guarantees_not_run, headers, route, routes, run, until,
 };
 
 static KEY_NAME: HeaderName = header::KEY;
@@ -182,7 +182,7 @@
         for (answer, id) in
             [(elsewhere, "parent.2"), (forged, "nobody.1"), (late, "parent.3")]
         {
-            assert!(is_promise(&answer), "{id}: {}", answer.status);
+            assert!(guarantees_not_run(&answer), "{id}: {}", answer.status);
             assert_eq!(world.runs(id), 0);
         }
     });
--- a/crates/walnutmoor/tests/mesh/desired.rs
+++ b/crates/walnutmoor/tests/mesh/desired.rs
@@ -15,7 +15,9 @@
         world.store.write_desired(&desired(2, &next));
 
         for index in 0..2 {
-            world.served(index, "search", &format!("new-{index}")).await;
+            world
+                .send_until_ok(index, "search", &format!("new-{index}"))
+                .await;
             let gone = world.send(index, "browse", "old").await.unwrap();
             assert_eq!(gone.status, 404);
         }
@@ -32,7 +34,7 @@
         world.store.compact();
         world.store.write_desired(&desired(2, &next));
 
-        world.served(0, "search", "new").await;
+        world.send_until_ok(0, "search", "new").await;
     });
 }
 
@@ -58,10 +60,10 @@
         let mut world = World::start(&["front", "desk"]).await;
 
         world.add("desk").await;
-        world.whole().await;
+        world.wait_until_connected().await;
         world.pairs[1].instance.drain().await;
 
-        world.served(0, "order", "joined").await;
+        world.send_until_ok(0, "order", "joined").await;
         assert!(world.pairs[2].instance.total() > 0);
         assert_eq!(world.store.nodes().len(), 3);
     });
@@ -78,7 +80,7 @@
         world.pairs[0].store.set(Mode::Silent);
         world.store.write_desired(&desired(2, &next));
 
-        world.served(0, "search", "cut-off").await;
+        world.send_until_ok(0, "search", "cut-off").await;
         // A thread writes the log, some milliseconds after the answer.
         let adopted = || {
             let log = world.pairs[0].node.log();
@@ -137,7 +139,7 @@
     run(async {
         let world = World::start(&["front", "desk"]).await;
         for n in 0..50 {
-            world.served(0, "order", &format!("quiet-{n}")).await;
+            world.send_until_ok(0, "order", &format!("quiet-{n}")).await;
         }
 
         // Two lists, two watches and a registration for each of two nodes,
--- a/crates/walnutmoor/tests/mesh/faults.rs
+++ b/crates/walnutmoor/tests/mesh/faults.rs
@@ -4,7 +4,7 @@
 
 use walnutmoor_standin::mesh::instance::Mood;
 
-use crate::fixture::{World, is_promise, run, until};
+use crate::fixture::{World, guarantees_not_run, run, until};
 
 /// Sends orders to the first node while something goes wrong; each must have
 /// run once at most, and not at all if its answer promises so.
@@ -14,7 +14,7 @@
         let answer = world.send(0, "order", &id).await;
         let runs = world.runs(&id);
         assert!(runs <= 1, "{id} ran {runs} times");
-        if answer.as_ref().is_some_and(is_promise) {
+        if answer.as_ref().is_some_and(guarantees_not_run) {
             assert_eq!(runs, 0, "{id} was said not to have run");
         }
         if answer.is_some_and(|answer| answer.status == 200) {
@@ -78,11 +78,11 @@
     run(async {
         let world = World::start(&["front", "desk", "desk"]).await;
         for n in 0..60 {
-            world.served(0, "browse", &format!("warm-{n}")).await;
+            world.send_until_ok(0, "browse", &format!("warm-{n}")).await;
         }
         world.pairs[1].instance.set_mood(Mood::LosesAnswers);
 
-        world.served(0, "browse", "again").await;
+        world.send_until_ok(0, "browse", "again").await;
 
         order(&world, "sibling", 20).await;
     });
@@ -98,7 +98,7 @@
         order(&world, "down", 3).await;
         world.pairs[1].node.restart();
 
-        world.served(0, "order", "after").await;
+        world.send_until_ok(0, "order", "after").await;
         order(&world, "up", 3).await;
     });
 }
@@ -109,7 +109,7 @@
         let world = World::start(&["front", "desk", "desk"]).await;
         world.pairs[1].node.signal("STOP");
 
-        world.served(0, "browse", "frozen").await;
+        world.send_until_ok(0, "browse", "frozen").await;
         order(&world, "ice", 5).await;
         world.pairs[1].node.signal("CONT");
 
@@ -141,9 +141,9 @@
         .await;
         let answer = world.send(0, "order", "silent").await.unwrap();
 
-        assert!(is_promise(&answer), "{}", answer.status);
+        assert!(guarantees_not_run(&answer), "{}", answer.status);
         world.pairs[1].node.signal("CONT");
-        world.served(0, "order", "again").await;
+        world.send_until_ok(0, "order", "again").await;
         assert_eq!(world.runs("silent"), 0);
     });
 }
@@ -157,7 +157,7 @@
         world.pairs[0].node.restart();
 
         until("it is ready", || world.is_ready(0)).await;
-        world.served(0, "order", "away").await;
+        world.send_until_ok(0, "order", "away").await;
     });
 }
 
@@ -173,7 +173,7 @@
             pair.node.restart();
         }
 
-        world.served(0, "order", "back").await;
+        world.send_until_ok(0, "order", "back").await;
     });
 }
 
@@ -182,7 +182,7 @@
     run(async {
         let world = World::start(&["front", "desk"]).await;
         for n in 0..5 {
-            world.served(0, "order", &format!("warm-{n}")).await;
+            world.send_until_ok(0, "order", &format!("warm-{n}")).await;
         }
         world.pairs[1].instance.set_mood(Mood::Forgets);
 
--- a/crates/walnutmoor/tests/mesh/fixture.rs
+++ b/crates/walnutmoor/tests/mesh/fixture.rs
@@ -1,4 +1,4 @@
-//! A world of a store, nodes and instances, built by functions.
+//! Starts a store, nodes and instances for a test, and sends requests to them.
 
 use std::{path::PathBuf, sync::Arc};
 
@@ -18,18 +18,18 @@
 
 pub use walnutmoor_standin::wait::{run, until};
 
-/// Few enough that a test can use them up.
+/// The file descriptors of a node; few enough that a test can exhaust them.
 pub const DESCRIPTORS: usize = 100;
 
-/// An instance and its node.
+/// A node and its instance.
 pub struct Pair {
     pub node: Node,
-    /// Stands between the node and the store.
+    /// The proxy between the node and the store.
     pub store: Arc<Proxy>,
     pub instance: Arc<Instance>,
 }
 
-/// Everything that runs in one test.
+/// The store, nodes and instances of one test.
 pub struct World {
     pub store: Arc<Store>,
     pub pairs: Vec<Pair>,
@@ -54,7 +54,7 @@
     }
 }
 
-/// `browse` may repeat and `order` may not; both go to `desk`.
+/// Two routes to `desk`: `browse` is idempotent, `order` is not.
 pub fn routes() -> Vec<Route> {
     vec![
         route("browse", Effect::Idempotent, &[("desk", 1)]),
@@ -69,8 +69,8 @@
 }
 
 impl World {
-    /// Starts a pair for each service, and waits until every node can bring
-    /// a request to each of them.
+    /// Starts a pair for each service, and waits until all nodes are ready and
+    /// connected.
     pub async fn start(services: &[&str]) -> World {
         let store = Store::start().await;
         store.write_desired(&desired(1, &routes()));
@@ -78,11 +78,11 @@
         for service in services {
             world.add(service).await;
         }
-        world.whole().await;
+        world.wait_until_connected().await;
         world
     }
 
-    /// Starts one more pair.
+    /// Starts another pair.
     pub async fn add(&mut self, service: &str) {
         let addresses = Addresses::draw();
         let store = Proxy::start(self.store.address()).await;
@@ -104,8 +104,8 @@
         self.pairs.push(Pair { node, store, instance });
     }
 
-    /// Starts the instance of a pair again, under the id that it had.
-    pub async fn start_again(&mut self, index: usize) {
+    /// Starts a new instance in a pair, under the id of the former one.
+    pub async fn restart_instance(&mut self, index: usize) {
         let pair = &mut self.pairs[index];
         let Addresses { server, control, .. } = pair.node.addresses();
         let former = &pair.instance;
@@ -113,8 +113,9 @@
         pair.instance = Instance::start(&id, &service, server, control).await;
     }
 
-    /// Waits until all nodes are ready and know each other.
-    pub async fn whole(&self) {
+    /// Waits until all nodes are ready, know their instance, and know that the
+    /// instances of all others accept work.
+    pub async fn wait_until_connected(&self) {
         for (index, pair) in self.pairs.iter().enumerate() {
             until("the node is ready", || self.is_ready(index)).await;
             until("the node knows all others", || async {
@@ -122,8 +123,9 @@
                 let others = self.pairs.iter().filter(|other| {
                     other.node.addresses().peers != pair.node.addresses().peers
                 });
-                let mut others = others.map(|o| o.node.addresses().peers);
-                others.all(|other| believes(&log, other))
+                let mut others =
+                    others.map(|other| other.node.addresses().peers);
+                others.all(|other| is_accepting(&log, other))
             })
             .await;
             until("the node knows its instance", || async {
@@ -134,13 +136,14 @@
     }
 
     pub async fn is_ready(&self, index: usize) -> bool {
-        let at = self.pairs[index].node.addresses().ready;
+        let address = self.pairs[index].node.addresses().ready;
         let path = walnutmoor_platform::heartbeat::READY;
-        let sent = caller::send(at, Method::GET, path, &[], String::new());
-        sent.await.is_some_and(|answer| answer.status == 200)
+        let request =
+            caller::send(address, Method::GET, path, &[], String::new());
+        request.await.is_some_and(|answer| answer.status == 200)
     }
 
-    /// Sends a request to a node; `None` if it got no whole answer.
+    /// Sends a request to a node. Returns `None` without a complete response.
     pub async fn send(
         &self,
         index: usize,
@@ -158,18 +161,23 @@
         attempt: &str,
         body: &str,
     ) -> Option<Answer> {
-        let at = self.pairs[index].node.addresses().callers;
+        let address = self.pairs[index].node.addresses().callers;
         let path = format!("/{route}/thing?x=%20y");
         let headers = headers(attempt, 5_000);
-        caller::send(at, Method::POST, &path, &headers, body.into()).await
+        caller::send(address, Method::POST, &path, &headers, body.into()).await
     }
 
     /// Sends a request until it is answered with 200.
-    pub async fn served(&self, index: usize, route: &str, attempt: &str) {
-        let mut tries = 0;
+    pub async fn send_until_ok(
+        &self,
+        index: usize,
+        route: &str,
+        attempt: &str,
+    ) {
+        let mut attempts = 0;
         until("the request is served", || {
-            tries += 1;
-            let id = format!("{attempt}-{tries}");
+            attempts += 1;
+            let id = format!("{attempt}-{attempts}");
             async move {
                 let answer = self.send(index, route, &id).await;
                 answer.is_some_and(|answer| answer.status == 200)
@@ -178,37 +186,39 @@
         .await;
     }
 
-    /// True if a node has said last that it watches the store.
+    /// Whether a node watches the store, by its last log line about it.
     pub fn watches(&self, index: usize) -> Option<bool> {
         let log = self.pairs[index].node.log();
         let last = log.lines().rfind(|line| line.contains("\"watches\""))?;
         Some(last.contains("\"watches\":true"))
     }
 
-    /// How often a request ran, at all instances together.
+    /// The number of runs of a request, at all instances together.
     pub fn runs(&self, attempt: &str) -> u32 {
-        let all = self.pairs.iter().map(|p| p.instance.runs(attempt));
-        all.sum()
+        let runs = self.pairs.iter().map(|pair| pair.instance.runs(attempt));
+        runs.sum()
     }
 }
 
-/// True if a log tells last that the instance of a node takes work.
-fn believes(log: &str, node: std::net::SocketAddr) -> bool {
+/// True if the instance of a node accepts work, by the last log line about it.
+fn is_accepting(log: &str, node: std::net::SocketAddr) -> bool {
     let peer = format!("\"peer\":\"{node}\"");
-    let mut told = log.lines().filter(|l| l.contains("\"accepting\""));
-    let last = told.rfind(|line| line.contains(&peer));
+    let mut reports =
+        log.lines().filter(|line| line.contains("\"accepting\""));
+    let last = reports.rfind(|line| line.contains(&peer));
     last.is_some_and(|line| line.contains("\"accepting\":true"))
 }
 
-pub fn headers(attempt: &str, left: u64) -> Vec<(HeaderName, String)> {
+/// The headers of a request with this time left, in milliseconds.
+pub fn headers(attempt: &str, time_left: u64) -> Vec<(HeaderName, String)> {
     vec![
         (http::header::HOST, "shop.example".into()),
         (header::ATTEMPT, attempt.into()),
-        (header::TIME_LEFT, left.to_string()),
+        (header::TIME_LEFT, time_left.to_string()),
     ]
 }
 
-/// True if an answer promises that its request was not run.
-pub fn is_promise(answer: &Answer) -> bool {
+/// True if the status of an answer guarantees that the request did not run.
+pub fn guarantees_not_run(answer: &Answer) -> bool {
     matches!(answer.status, 429 | 503)
 }
--- a/crates/walnutmoor/tests/mesh/leaving.rs
+++ b/crates/walnutmoor/tests/mesh/leaving.rs
@@ -1,14 +1,14 @@
-//! Instances and nodes that leave.
+//! Draining, departing and restarted instances, and terminating nodes.
 
 use std::{sync::Arc, time::Duration};
 
 use walnutmoor_core::lifetime::Report;
 use walnutmoor_standin::mesh::instance::Mood;
 
-use crate::fixture::{World, is_promise, run, until};
+use crate::fixture::{World, guarantees_not_run, run, until};
 
 #[test]
-fn an_instance_that_drains_gets_nothing_new_and_finishes_what_it_has() {
+fn a_draining_instance_gets_no_new_requests() {
     run(async {
         let world = World::start(&["front", "desk", "desk"]).await;
         let desk = &world.pairs[1].instance;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn an_instance_that_leaves_without_notice_gets_nothing_new() {
+fn an_instance_that_departs_without_draining_gets_no_new_requests() {
     run(async {
         let world = World::start(&["front", "desk", "desk"]).await;
         let desk = &world.pairs[1].instance;
@@ -44,14 +44,14 @@
 }
 
 #[test]
-fn a_node_restarted_beside_a_leaving_instance_does_not_open_it_again() {
+fn a_restarted_node_does_not_use_its_draining_instance() {
     run(async {
         let mut world = World::start(&["front", "desk", "desk"]).await;
         world.pairs[1].instance.drain().await;
         world.pairs[1].instance.hush();
 
         world.pairs[1].node.restart();
-        until("it has asked for the health", || async {
+        until("the node has checked the health", || async {
             world.pairs[1].node.log().contains("health check")
         })
         .await;
@@ -65,25 +65,25 @@
 }
 
 #[test]
-fn a_node_restarted_beside_an_instance_that_said_goodbye_does_not_open_it() {
+fn a_restarted_node_does_not_use_its_departed_instance() {
     run(async {
         let mut world = World::start(&["front", "desk", "desk"]).await;
-        // Its health still says that it is well.
+        // Its health check still succeeds.
         assert_eq!(world.pairs[1].instance.leave().await, 200);
 
         world.pairs[1].node.restart();
-        until("it has asked for the health", || async {
+        until("the node has checked the health", || async {
             world.pairs[1].node.log().contains("health check")
         })
         .await;
-        until("the others reach it", || async {
+        until("the other node has reconnected", || async {
             let log = world.pairs[0].node.log();
             let peer = world.pairs[1].node.addresses().peers.to_string();
-            let links = log.lines().filter(|line| {
+            let events = log.lines().filter(|line| {
                 line.contains("\"lost\"") || line.contains("\"regained\"")
             });
-            let mut links = links.filter(|line| line.contains(&peer));
-            links.next_back().is_some_and(|line| line.contains("regained"))
+            let mut events = events.filter(|line| line.contains(&peer));
+            events.next_back().is_some_and(|line| line.contains("regained"))
         })
         .await;
         let before = world.pairs[1].instance.total();
@@ -98,16 +98,16 @@
 }
 
 #[test]
-fn a_node_that_is_told_to_end_cuts_no_request() {
+fn a_terminating_node_finishes_requests_in_flight() {
     run(async {
         let mut world = World::start(&["front", "desk"]).await;
         world.pairs[1].instance.set_time(Duration::from_millis(1_500));
-        let world_ref = Arc::new(world.pairs[0].node.addresses().callers);
-        let at = *world_ref;
+        let shared = Arc::new(world.pairs[0].node.addresses().callers);
+        let address = *shared;
         let sent = tokio::spawn(async move {
             let headers = crate::fixture::headers("slow", 5_000);
             walnutmoor_standin::mesh::caller::send(
-                at,
+                address,
                 http::Method::POST,
                 "/order/x",
                 &headers,
@@ -115,10 +115,11 @@
             )
             .await
         });
-        until("it runs", || async { world.runs("slow") == 1 }).await;
+        until("the request runs", || async { world.runs("slow") == 1 }).await;
 
         world.pairs[0].node.signal("TERM");
-        until("it is not ready", || async { !world.is_ready(0).await }).await;
+        until("the node is not ready", || async { !world.is_ready(0).await })
+            .await;
 
         let answer = sent.await.unwrap().unwrap();
         assert_eq!(answer.status, 200);
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn a_node_that_has_ended_refuses_with_a_promise_or_not_at_all() {
+fn a_terminating_node_refuses_only_requests_that_did_not_run() {
     run(async {
         let mut world = World::start(&["front", "desk"]).await;
         world.pairs[1].instance.set_mood(Mood::Well);
@@ -147,7 +148,7 @@
             let answer = world.send(0, "order", &id).await;
             let ran = world.runs(&id);
             if let Some(answer) = answer {
-                assert!(answer.status == 200 || is_promise(&answer));
+                assert!(answer.status == 200 || guarantees_not_run(&answer));
                 assert_eq!(ran, u32::from(answer.status == 200));
             }
             tokio::time::sleep(Duration::from_millis(30)).await;
@@ -156,23 +157,23 @@
 }
 
 #[test]
-fn an_instance_started_again_under_its_id_is_used_and_its_past_is_not_held() {
+fn a_restarted_instance_is_used_despite_a_late_report() {
     run(async {
         let mut world = World::start(&["front", "desk"]).await;
         let former = world.pairs[1].instance.clone();
         assert_eq!(former.drain().await, 200);
         former.stop();
-        let past = former.lifetime();
+        let former_lifetime = former.lifetime();
 
-        world.start_again(1).await;
-        world.served(0, "order", "again").await;
-        let late = Report {
-            lifetime: past,
+        world.restart_instance(1).await;
+        world.send_until_ok(0, "order", "again").await;
+        let late_report = Report {
+            lifetime: former_lifetime,
             slots: 8,
             sequence: 1_000_000,
             ready: false,
         };
-        world.pairs[1].instance.say(&late).await;
+        world.pairs[1].instance.say(&late_report).await;
 
         for n in 0..10 {
             let id = format!("after-{n}");
@@ -184,7 +185,7 @@
 }
 
 #[test]
-fn a_node_and_its_instance_started_again_are_used_though_the_id_had_left() {
+fn a_node_and_instance_restarted_after_a_departure_are_used() {
     run(async {
         let mut world = World::start(&["front", "desk"]).await;
         let former = world.pairs[1].instance.clone();
@@ -192,8 +193,8 @@
         former.stop();
 
         world.pairs[1].node.restart();
-        world.start_again(1).await;
+        world.restart_instance(1).await;
 
-        world.served(0, "order", "again").await;
+        world.send_until_ok(0, "order", "again").await;
     });
 }
--- a/crates/walnutmoor/tests/mesh/main.rs
+++ b/crates/walnutmoor/tests/mesh/main.rs
@@ -1,6 +1,6 @@
-//! Nodes of the mesh as separate processes, beside stand-ins of the store and
-//! of instances, under kills, freezes, outages and instances that misbehave.
-//! Tests wait on conditions; none judges elapsed time.
+//! Process tests of the mesh: nodes run as separate processes with stand-ins
+//! for the store and the instances, under kills, freezes, outages and faulty
+//! instances. Tests wait for conditions and do not assert on elapsed time.
 
 mod accounts;
 mod desired;
--- a/crates/walnutmoor/tests/mesh/path.rs
+++ b/crates/walnutmoor/tests/mesh/path.rs
@@ -1,10 +1,12 @@
-//! The way of a request.
+//! The path of a request from a caller through nodes to an instance.
 
 use http::Method;
 use walnutmoor_platform::header;
 use walnutmoor_standin::mesh::{caller, instance::Mood};
 
-use crate::fixture::{DESCRIPTORS, World, headers, is_promise, run, until};
+use crate::fixture::{
+    DESCRIPTORS, World, guarantees_not_run, headers, run, until,
+};
 
 #[test]
 fn a_request_reaches_the_instance_of_another_node_unchanged() {
@@ -22,7 +24,7 @@
 }
 
 #[test]
-fn what_no_route_matches_is_not_found() {
+fn a_request_without_a_route_is_answered_with_404() {
     run(async {
         let world = World::start(&["desk"]).await;
 
@@ -33,28 +35,28 @@
 }
 
 #[test]
-fn odd_framing_is_refused_and_runs_nothing() {
+fn malformed_framing_is_rejected_and_runs_nothing() {
     run(async {
         let world = World::start(&["desk"]).await;
-        let at = world.pairs[0].node.addresses().callers;
+        let address = world.pairs[0].node.addresses().callers;
         let id = header::ATTEMPT;
-        let odd = [
+        let malformed_headers = [
             "content-length: 4\r\ncontent-length: 5\r\n",
             "content-length: -1\r\n",
             "transfer-encoding: chunked, identity\r\n",
             "content-length : 4\r\n",
         ];
 
-        for line in odd {
+        for line in malformed_headers {
             let text = format!(
                 "POST /order/x HTTP/1.1\r\nhost: shop.example\r\n\
                  {id}: odd\r\n{line}\r\nabcdGET /order/y HTTP/1.1\r\n\
                  host: shop.example\r\n{id}: smuggled\r\n\r\n"
             );
-            let answer = caller::raw(at, &text).await;
-            let refused =
-                answer.is_none_or(|a| (400..500).contains(&a.status));
-            assert!(refused, "{line}");
+            let answer = caller::raw(address, &text).await;
+            let rejected = answer
+                .is_none_or(|answer| (400..500).contains(&answer.status));
+            assert!(rejected, "{line}");
         }
 
         assert_eq!(world.runs("odd") + world.runs("smuggled"), 0);
@@ -62,29 +64,30 @@
 }
 
 #[test]
-fn a_caller_that_leaves_takes_its_idempotent_request_with_it() {
+fn a_disconnecting_caller_cancels_its_idempotent_request() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
         let instance = &world.pairs[1].instance;
         instance.set_mood(Mood::Silent);
         instance.set_time(std::time::Duration::from_secs(600));
-        let at = world.pairs[0].node.addresses().callers;
+        let address = world.pairs[0].node.addresses().callers;
 
         let waiting = tokio::spawn(async move {
             let headers = headers("left", 60_000);
             let path = "/browse/x";
             let body = String::new();
-            caller::send(at, Method::GET, path, &headers, body).await
+            caller::send(address, Method::GET, path, &headers, body).await
         });
-        until("it runs", || async { instance.runs("left") == 1 }).await;
+        until("the request runs", || async { instance.runs("left") == 1 })
+            .await;
         waiting.abort();
 
-        until("its run is cut", || async { instance.cut() == 1 }).await;
+        until("its run is canceled", || async { instance.cut() == 1 }).await;
     });
 }
 
 #[test]
-fn shed_requests_are_refused_with_the_word_that_they_did_not_run() {
+fn shed_requests_are_refused_with_a_status_that_guarantees_no_run() {
     run(async {
         let world = World::start(&["front", "desk", "desk"]).await;
         for pair in &world.pairs {
@@ -95,24 +98,24 @@
             let id = format!("s{n}");
             let answer = world.send(0, "order", &id).await.unwrap();
 
-            assert!(is_promise(&answer), "{}", answer.status);
-            let back = answer.headers.get(http::header::RETRY_AFTER);
-            assert!(back.is_some());
+            assert!(guarantees_not_run(&answer), "{}", answer.status);
+            let retry_after = answer.headers.get(http::header::RETRY_AFTER);
+            assert!(retry_after.is_some());
             assert_eq!(world.runs(&id), 0);
         }
     });
 }
 
 #[test]
-fn metrics_tell_what_was_answered() {
+fn metrics_count_answered_requests() {
     run(async {
         let world = World::start(&["desk"]).await;
-        world.served(0, "browse", "m").await;
-        let at = world.pairs[0].node.addresses().metrics;
+        world.send_until_ok(0, "browse", "m").await;
+        let address = world.pairs[0].node.addresses().metrics;
 
-        let sent =
-            caller::send(at, Method::GET, "/metrics", &[], String::new());
-        let answer = sent.await.unwrap();
+        let request =
+            caller::send(address, Method::GET, "/metrics", &[], String::new());
+        let answer = request.await.unwrap();
 
         let line = "walnutmoor_requests_total{outcome=\"answered\"} 1";
         assert!(answer.body.contains(line), "{}", answer.body);
@@ -123,24 +126,25 @@
 fn callers_are_asked_to_close_before_descriptors_run_out() {
     run(async {
         let world = World::start(&["desk"]).await;
-        let at = world.pairs[0].node.addresses().callers;
-        let mut held = Vec::new();
+        let address = world.pairs[0].node.addresses().callers;
+        let mut open_streams = Vec::new();
 
-        let mut asked = 0;
+        let mut close_count = 0;
         for n in 0..DESCRIPTORS {
             let text = format!(
                 "GET /browse/x HTTP/1.1\r\nhost: shop.example\r\n{}: h{n}\r\n\
                  \r\n",
                 header::ATTEMPT
             );
-            let (answer, stream) = caller::hold(at, &text).await.unwrap();
+            let (answer, stream) = caller::hold(address, &text).await.unwrap();
             assert_eq!(answer.status, 200);
             let close = answer.headers.get(http::header::CONNECTION);
-            asked += usize::from(close.is_some_and(|c| c == "close"));
-            held.push(stream);
+            close_count +=
+                usize::from(close.is_some_and(|value| value == "close"));
+            open_streams.push(stream);
         }
 
-        assert!(asked > DESCRIPTORS / 2, "{asked}");
-        assert!(asked < DESCRIPTORS, "{asked}");
+        assert!(close_count > DESCRIPTORS / 2, "{close_count}");
+        assert!(close_count < DESCRIPTORS, "{close_count}");
     });
 }
--- a/crates/walnutmoor/tests/mesh/pipeline.rs
+++ b/crates/walnutmoor/tests/mesh/pipeline.rs
@@ -1,4 +1,5 @@
-//! Callers that send further requests before the first is answered.
+//! HTTP/1.1 pipelining: callers that send requests before earlier ones are
+//! answered.
 
 use std::time::Duration;
 
@@ -8,44 +9,45 @@
 
 use crate::fixture::{World, headers, run, until};
 
-/// A request, as bytes.
-fn ask(method: Method, route: &str, attempt: &str, body: &str) -> String {
+/// The text of a request.
+fn request(method: Method, route: &str, attempt: &str, body: &str) -> String {
     text(method, &format!("/{route}/x"), &headers(attempt, 20_000), body)
 }
 
 fn browse(attempt: &str) -> String {
-    ask(Method::GET, "browse", attempt, "")
+    request(Method::GET, "browse", attempt, "")
 }
 
-/// A connection to the first node, and what it is given at once.
+/// Connects to the first node and sends these requests at once.
 async fn connect(world: &World, requests: &[String]) -> Connection {
-    let at = world.pairs[0].node.addresses().callers;
-    let mut connection = Connection::open(at).await.unwrap();
+    let address = world.pairs[0].node.addresses().callers;
+    let mut connection = Connection::open(address).await.unwrap();
     connection.write(&requests.concat()).await.unwrap();
     connection
 }
 
+/// True if this is a successful response to the given attempt.
 fn is_for(answer: &Answer, attempt: &str) -> bool {
     let id = answer.headers.get(header::ATTEMPT);
     answer.status == 200 && id.is_some_and(|id| id == attempt)
 }
 
 #[test]
-fn quick_requests_behind_a_slow_one_run_beside_it_and_are_answered_after() {
+fn pipelined_requests_run_concurrently_and_are_answered_in_order() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
         let desk = &world.pairs[1].instance;
         desk.hold("slow");
 
-        let all = ["slow", "q1", "q2", "q3"];
-        let mut caller = connect(&world, &all.map(browse)).await;
-        until("the quick ones have run", || async {
-            all.iter().all(|id| desk.runs(id) == 1)
+        let ids = ["slow", "q1", "q2", "q3"];
+        let mut caller = connect(&world, &ids.map(browse)).await;
+        until("all requests have started", || async {
+            ids.iter().all(|id| desk.runs(id) == 1)
         })
         .await;
         desk.release("slow");
 
-        for id in all {
+        for id in ids {
             let answer = caller.read().await.unwrap();
             assert!(is_for(&answer, id), "{id}: {answer:?}");
         }
@@ -53,12 +55,12 @@
 }
 
 #[test]
-fn a_refusal_ahead_is_answered_first_and_harms_none_behind() {
+fn a_rejected_request_does_not_affect_those_pipelined_after_it() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
 
-        let lost = ask(Method::GET, "nowhere", "lost", "");
-        let sent = [lost, browse("a"), browse("b")];
+        let unroutable = request(Method::GET, "nowhere", "lost", "");
+        let sent = [unroutable, browse("a"), browse("b")];
         let mut caller = connect(&world, &sent).await;
 
         assert_eq!(caller.read().await.unwrap().status, 404);
@@ -68,13 +70,13 @@
 }
 
 #[test]
-fn nothing_runs_that_was_sent_behind_the_last_request() {
+fn no_request_runs_after_one_that_closes_the_connection() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
-        let last =
+        let closing =
             browse("b").replace("\r\n\r\n", "\r\nconnection: close\r\n\r\n");
 
-        let sent = [browse("a"), last, browse("c")];
+        let sent = [browse("a"), closing, browse("c")];
         let mut caller = connect(&world, &sent).await;
 
         assert!(is_for(&caller.read().await.unwrap(), "a"));
@@ -87,7 +89,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_ends_all_of_its_requests() {
+fn a_disconnecting_caller_cancels_all_of_its_requests() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
         let desk = &world.pairs[1].instance;
@@ -95,28 +97,33 @@
 
         let caller = connect(&world, &["a", "b", "c"].map(browse)).await;
         until("all run", || async { desk.total() == 3 }).await;
-        assert_eq!(desk.cut(), 0, "one had to end for another to begin");
+        assert_eq!(
+            desk.cut(),
+            0,
+            "a request was canceled before the caller left"
+        );
         drop(caller);
 
-        until("all are cut", || async { desk.cut() == 3 }).await;
+        until("all are canceled", || async { desk.cut() == 3 }).await;
     });
 }
 
 #[test]
-fn a_node_told_to_end_answers_all_that_was_begun() {
+fn a_terminating_node_answers_all_started_requests() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
         let desk = world.pairs[1].instance.clone();
-        let all = ["a", "b", "c", "d"];
-        all.iter().for_each(|id| desk.hold(id));
-        let mut caller = connect(&world, &all.map(browse)).await;
+        let ids = ["a", "b", "c", "d"];
+        ids.iter().for_each(|id| desk.hold(id));
+        let mut caller = connect(&world, &ids.map(browse)).await;
         until("all run", || async { desk.total() == 4 }).await;
 
         world.pairs[0].node.signal("TERM");
-        until("it is not ready", || async { !world.is_ready(0).await }).await;
-        all.iter().for_each(|id| desk.release(id));
+        until("the node is not ready", || async { !world.is_ready(0).await })
+            .await;
+        ids.iter().for_each(|id| desk.release(id));
 
-        for id in all {
+        for id in ids {
             assert!(is_for(&caller.read().await.unwrap(), id));
             assert_eq!(caller.closes(), id == "d");
         }
@@ -124,10 +131,10 @@
 }
 
 #[test]
-fn odd_framing_behind_a_good_request_ends_the_connection_after_its_answer() {
+fn malformed_framing_closes_the_connection_after_earlier_responses() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
-        let odd = [
+        let malformed = [
             browse("odd").replace("\r\n", "\n"),
             browse("odd").replace("host:", " host:"),
             browse("odd")
@@ -135,9 +142,9 @@
             browse("odd").replace("content-length: 0", "transfer-encoding: x"),
         ];
 
-        for (n, odd) in odd.into_iter().enumerate() {
+        for (n, malformed) in malformed.into_iter().enumerate() {
             let good = format!("good-{n}");
-            let sent = [browse(&good), odd, browse("behind")];
+            let sent = [browse(&good), malformed, browse("behind")];
             let mut caller = connect(&world, &sent).await;
 
             assert!(is_for(&caller.read().await.unwrap(), &good));
@@ -150,22 +157,22 @@
 }
 
 #[test]
-fn a_request_that_may_run_only_once_is_alone_on_its_connection() {
+fn a_request_that_must_not_run_twice_is_exclusive_on_its_connection() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
         let desk = &world.pairs[1].instance;
         desk.hold("read");
         desk.hold("once");
 
-        let once = ask(Method::POST, "order", "once", "body");
+        let once = request(Method::POST, "order", "once", "body");
         let sent = [browse("read"), once, browse("after")];
         let mut caller = connect(&world, &sent).await;
         until("the first runs", || async { desk.runs("read") == 1 }).await;
-        world.served(0, "browse", "beside").await;
+        world.send_until_ok(0, "browse", "beside").await;
         assert_eq!(desk.runs("once"), 0);
         desk.release("read");
         until("the second runs", || async { desk.runs("once") == 1 }).await;
-        world.served(0, "browse", "beside-2").await;
+        world.send_until_ok(0, "browse", "beside-2").await;
         assert_eq!(desk.runs("after"), 0);
         desk.release("once");
 
@@ -177,20 +184,20 @@
 }
 
 #[test]
-fn a_caller_that_does_not_read_is_not_read_further() {
+fn a_caller_that_does_not_read_responses_is_not_read_further() {
     run(async {
         const COUNT: u32 = 600;
         let world = World::start(&["front", "desk"]).await;
         let desk = &world.pairs[1].instance;
         let body = "x".repeat(30_000);
-        let at = world.pairs[0].node.addresses().callers;
-        let stream = tokio::net::TcpStream::connect(at).await.unwrap();
+        let address = world.pairs[0].node.addresses().callers;
+        let stream = tokio::net::TcpStream::connect(address).await.unwrap();
         let (mut reader, mut writer) = stream.into_split();
 
         let sending = tokio::spawn(async move {
             for n in 0..COUNT {
                 let id = format!("n{n}");
-                let text = ask(Method::GET, "browse", &id, &body);
+                let text = request(Method::GET, "browse", &id, &body);
                 let bytes = text.as_bytes();
                 tokio::io::AsyncWriteExt::write_all(&mut writer, bytes)
                     .await
@@ -198,23 +205,23 @@
             }
             writer
         });
-        let mut last = u32::MAX;
-        until("no more is run", || {
-            let same =
-                desk.total() == std::mem::replace(&mut last, desk.total());
+        let mut last_total = u32::MAX;
+        until("no further request runs", || {
+            let unchanged = desk.total()
+                == std::mem::replace(&mut last_total, desk.total());
             async move {
                 tokio::time::sleep(Duration::from_millis(300)).await;
-                same
+                unchanged
             }
         })
         .await;
-        assert!(desk.total() < COUNT, "all of {COUNT} were run");
+        assert!(desk.total() < COUNT, "all {COUNT} requests ran");
         let mut bytes = 0;
-        let mut part = vec![0; 64 << 10];
+        let mut buffer = vec![0; 64 << 10];
         while bytes < COUNT as usize * 30_000 {
-            let read = tokio::io::AsyncReadExt::read(&mut reader, &mut part);
+            let read = tokio::io::AsyncReadExt::read(&mut reader, &mut buffer);
             let count = read.await.unwrap();
-            assert!(count > 0, "closed after {bytes}");
+            assert!(count > 0, "closed after {bytes} bytes");
             bytes += count;
         }
 
@@ -224,13 +231,13 @@
 }
 
 #[test]
-fn a_caller_is_told_to_send_its_body_after_the_answers_ahead() {
+fn continue_is_sent_after_the_earlier_responses() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
         let desk = &world.pairs[1].instance;
         desk.hold("a");
-        let held = ask(Method::POST, "order", "b", "body");
-        let (head, body) = held.split_at(held.len() - 4);
+        let order = request(Method::POST, "order", "b", "body");
+        let (head, body) = order.split_at(order.len() - 4);
         let head =
             head.replace("\r\n\r\n", "\r\nexpect: 100-continue\r\n\r\n");
 
@@ -248,12 +255,12 @@
 }
 
 #[test]
-fn a_body_in_chunks_may_stand_between_heads() {
+fn a_chunked_body_may_be_pipelined() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
-        let whole = ask(Method::POST, "browse", "b", "");
+        let plain = request(Method::POST, "browse", "b", "");
         let chunked =
-            whole.replace("content-length: 0", "transfer-encoding: chunked");
+            plain.replace("content-length: 0", "transfer-encoding: chunked");
         let chunked =
             format!("{chunked}3\r\nbod\r\n1;x=y\r\ny\r\n0\r\nt: 1\r\n\r\n");
 
--- a/crates/walnutmoor/tests/mesh/poison.rs
+++ b/crates/walnutmoor/tests/mesh/poison.rs
@@ -129,9 +129,9 @@
 /// True if every instance listens again and its node believes so.
 async fn whole_again(world: &World) {
     for node in 0..world.pairs.len() {
-        world.served(node, "browse", &format!("whole-{node}")).await;
+        world.send_until_ok(node, "browse", &format!("whole-{node}")).await;
     }
-    world.whole().await;
+    world.wait_until_connected().await;
 }
 
 #[test]
@@ -172,7 +172,9 @@
         until_three(&world).await;
         until_barred(&world, "known", SPOILED, 1).await;
         for node in 0..world.pairs.len() {
-            world.served(node, "browse", &format!("other-{node}")).await;
+            world
+                .send_until_ok(node, "browse", &format!("other-{node}"))
+                .await;
         }
     });
 }
@@ -234,7 +236,7 @@
         for pair in &mut world.pairs {
             pair.node.restart();
         }
-        world.whole().await;
+        world.wait_until_connected().await;
         until("all have read it", || async {
             let mut nodes = world.pairs.iter().map(|pair| &pair.node);
             nodes.all(|node| node.log().contains("is barred"))
@@ -275,7 +277,7 @@
         .await;
         world.pairs.iter_mut().for_each(|pair| pair.node.kill());
         world.pairs.iter_mut().for_each(|pair| pair.node.restart());
-        world.whole().await;
+        world.wait_until_connected().await;
         until("all have read it", || async {
             let mut nodes = world.pairs.iter().map(|pair| &pair.node);
             nodes.all(|node| {
@@ -447,7 +449,7 @@
         let mut next = routes();
         next.push(route("visit", Effect::Idempotent, &[("front", 1)]));
         world.store.write_desired(&desired(2, &next));
-        world.served(2, "visit", "known").await;
+        world.send_until_ok(2, "visit", "known").await;
         let fronts = &world.pairs[..2];
         for pair in fronts {
             pair.instance.set_mood(Mood::Fails);
@@ -481,7 +483,7 @@
             pair.instance.set_time(Duration::from_millis(80));
         }
         for n in 0..12 {
-            world.served(n % 5, "browse", &format!("well-{n}")).await;
+            world.send_until_ok(n % 5, "browse", &format!("well-{n}")).await;
         }
         let shared = (0..30).map(|n| {
             let id = format!("shared-{n}");
--- a/crates/walnutmoor/tests/mesh/restore.rs
+++ b/crates/walnutmoor/tests/mesh/restore.rs
@@ -41,7 +41,7 @@
     let name = format!("search{version}");
     for index in 0..world.pairs.len() {
         let attempt = format!("of-{version}-at-{index}");
-        world.served(index, &name, &attempt).await;
+        world.send_until_ok(index, &name, &attempt).await;
     }
 }
 
@@ -117,7 +117,7 @@
         in_force(&world, 7).await;
         world.store.restore(&copy, Fate::Cut);
         world.pairs.iter_mut().for_each(|pair| pair.node.restart());
-        world.served(0, "browse", "by-the-copy").await;
+        world.send_until_ok(0, "browse", "by-the-copy").await;
 
         write(&world, 7);
 
@@ -152,7 +152,7 @@
             lives(&world, other) == 2 && world.watches(other) == Some(false)
         })
         .await;
-        world.whole().await;
+        world.wait_until_connected().await;
         write(&world, 9);
 
         in_force(&world, 9).await;
@@ -189,7 +189,7 @@
         let copy = world.store.snapshot();
         world.add("desk").await;
         world.add("desk").await;
-        world.whole().await;
+        world.wait_until_connected().await;
 
         world.store.restore(&copy, Fate::Cut);
 
@@ -215,7 +215,7 @@
         let copy = world.store.snapshot();
         world.add("desk").await;
         world.add("desk").await;
-        world.whole().await;
+        world.wait_until_connected().await;
         let frozen = world.pairs[2].node.addresses().peers;
         world.pairs[2].node.signal("STOP");
         until("its link is lost", || async {
--- a/crates/walnutmoor/tests/mesh/watching.rs
+++ b/crates/walnutmoor/tests/mesh/watching.rs
@@ -28,7 +28,9 @@
     next.push(route(&name, Effect::Idempotent, &[("desk", 1)]));
     world.store.write_desired(&desired(version, &next));
     for index in 0..NODES {
-        world.served(index, &name, &format!("new-{version}-{index}")).await;
+        world
+            .send_until_ok(index, &name, &format!("new-{version}-{index}"))
+            .await;
     }
 }
 
