--- a/crates/walnutmoor/src/mesh/connection.rs
+++ b/crates/walnutmoor/src/mesh/connection.rs
@@ -2,10 +2,9 @@
 A caller's HTTP/1.1 connection: reads pipelined requests, serves them
 concurrently and writes the responses in order.
 
-[`Pipeline`](walnutmoor_core::pipeline::Pipeline) decides which requests may
-be in flight together. If the caller disconnects, all of its requests are
-dropped and thereby canceled. If it does not read its responses, no further
-requests are read.
+[`Pipeline`] decides which requests may be in flight together. If the caller
+disconnects, all of its requests are dropped and thereby canceled. If it does
+not read its responses, no further requests are read.
 */
 
 use std::{io, pin::pin, rc::Rc, time::Duration};
