--- a/crates/walnutmoor/src/mesh/belief.rs
+++ b/crates/walnutmoor/src/mesh/belief.rs
@@ -1,11 +1,11 @@
 /*!
-What follows from what a node believes of its instance.
+Applies changes of the tracked instance lifetime to the serving side.
 
-`walnutmoor_core::lifetime` decides what is believed; here the bulkhead is
-opened and closed, connections are dropped and others are told. A lifetime that
-has said that it leaves never takes work again, also where this node is
-restarted meanwhile: other nodes remember what it told them, and tell its next
-life before they send it any call.
+`walnutmoor_core::lifetime` tracks the lifetime; this module opens and closes
+the bulkhead, drops connections and notifies other nodes. A lifetime that has
+announced its departure never takes work again, even if this node restarts:
+other nodes remember the departure, and send it to the node's next incarnation
+before any call.
 */
 
 use std::rc::Rc;
@@ -17,42 +17,46 @@
 
 use super::{journal::Event, serve::Serve, state::State};
 
-/// How long an instance that refuses connections is left alone.
-const SUSPEND: Millis = Millis(250);
+/// The pause between connection attempts to an instance that refuses them.
+const RESUME_INTERVAL: Millis = Millis(250);
 
 impl Serve {
-    /// An instance reports of itself.
+    /// Handles a heartbeat of the instance.
     pub fn report(&self, state: &Rc<State>, report: &Report) {
-        let before = self.belief.borrow().current().cloned();
-        let change = self.belief.borrow_mut().report(report);
+        let before = self.tracker.borrow().current().cloned();
+        let change = self.tracker.borrow_mut().report(report);
         if let Some(before) = before.filter(|before| before.ready)
             && change == Change::Lifetime
         {
-            self.note_crash(state, &before.lifetime, "another lifetime");
+            self.record_crash(state, &before.lifetime, "another lifetime");
         }
-        self.follow(state, change, "heartbeat");
+        self.apply(state, change, "heartbeat");
     }
 
-    /// An instance says that it goes.
+    /// Handles the announcement that an instance is leaving.
     pub fn leave(&self, state: &Rc<State>, lifetime: &Lifetime) {
-        let change = self.belief.borrow_mut().leave(lifetime);
-        self.follow(state, change, "goodbye");
+        let change = self.tracker.borrow_mut().leave(lifetime);
+        self.apply(state, change, "goodbye");
     }
 
-    /// Lifetimes that have left, as others were told by a former life of
-    /// this node.
-    pub fn note_former(&self, state: &Rc<State>, lifetimes: Vec<Lifetime>) {
-        let change = self.belief.borrow_mut().record_departed(lifetimes);
-        self.follow(state, change, "a former life of this node");
+    /// Records departed lifetimes that a former incarnation of this node
+    /// reported to its peers.
+    pub fn record_departed(
+        &self,
+        state: &Rc<State>,
+        lifetimes: Vec<Lifetime>,
+    ) {
+        let change = self.tracker.borrow_mut().record_departed(lifetimes);
+        self.apply(state, change, "a former life of this node");
     }
 
-    /// The lifetime of the instance, if it has left.
+    /// The current lifetime of the instance, if it has departed.
     pub fn departed(&self) -> Option<Lifetime> {
-        self.belief.borrow().departed().cloned()
+        self.tracker.borrow().departed().cloned()
     }
 
-    /// A health check found the instance.
-    pub fn found(
+    /// Handles the response to a health check.
+    pub fn record_health_check(
         &self,
         state: &Rc<State>,
         instance: &str,
@@ -60,81 +64,82 @@
         ready: bool,
     ) {
         let change = self
-            .belief
+            .tracker
             .borrow_mut()
             .record_health_check(instance, slots, ready);
-        self.follow(state, change, "health check");
+        self.apply(state, change, "health check");
     }
 
-    /// Another instance answered at the address.
-    pub(super) fn replaced(&self, state: &Rc<State>) {
-        let before = self.belief.borrow().current().cloned();
-        let change = self.belief.borrow_mut().forget();
+    /// Handles a response from another instance at the same address.
+    pub(super) fn handle_replacement(&self, state: &Rc<State>) {
+        let before = self.tracker.borrow().current().cloned();
+        let change = self.tracker.borrow_mut().forget();
         if let Some(before) = before.filter(|before| before.ready) {
-            self.note_crash(state, &before.lifetime, "another instance");
+            self.record_crash(state, &before.lifetime, "another instance");
         }
-        self.follow(state, change, "another instance answered");
+        self.apply(state, change, "another instance answered");
     }
 
-    /// Takes no more work: this node is about to end, and a call that it
-    /// had not finished by then would be lost.
-    pub fn retire(&self, state: &Rc<State>) {
-        self.retired.set(true);
+    /// Stops taking new work, so that calls in flight finish before the node
+    /// exits.
+    pub fn drain(&self, state: &Rc<State>) {
+        self.draining.set(true);
         self.bulkhead.borrow_mut().close();
-        state.announce();
+        state.broadcast_load();
         self.advance(state);
     }
 
-    fn follow(&self, state: &Rc<State>, change: Change, source: &str) {
+    fn apply(&self, state: &Rc<State>, change: Change, source: &str) {
         if !change.has_changed() {
             return;
         }
         if change == Change::Lifetime {
             self.pool.clear();
         }
-        self.reopen();
+        self.update_bulkhead();
         if let Some(lifetime) = self.departed() {
-            state.announce_departure(&lifetime);
+            state.broadcast_departure(&lifetime);
         }
-        self.note(state, source);
-        state.announce();
+        self.log_instance(state, source);
+        state.broadcast_load();
         self.advance(state);
     }
 
-    /// Opens the bulkhead if the instance takes work, and closes it if not.
-    fn reopen(&self) {
-        let belief = self.belief.borrow();
+    /// Opens the bulkhead if the instance is ready, and closes it otherwise.
+    fn update_bulkhead(&self) {
+        let tracker = self.tracker.borrow();
         let mut bulkhead = self.bulkhead.borrow_mut();
-        match belief.current() {
-            Some(known) if known.ready && !self.retired.get() => {
-                bulkhead.open(known.slots);
+        match tracker.current() {
+            Some(current) if current.ready && !self.draining.get() => {
+                bulkhead.open(current.slots);
             }
             _ => bulkhead.close(),
         }
     }
 
-    fn note(&self, state: &State, source: &str) {
-        let known = self.belief.borrow().current().cloned();
-        let known = known.unwrap_or_default();
-        let born = known.lifetime.started_at.map(|born| born.0);
+    fn log_instance(&self, state: &State, source: &str) {
+        let current = self.tracker.borrow().current().cloned();
+        let current = current.unwrap_or_default();
+        let started_at = current.lifetime.started_at.map(|time| time.0);
         let fields = [
-            ("instance", known.lifetime.id.into()),
-            ("born", born.into()),
-            ("ready", known.ready.into()),
-            ("slots", known.slots.into()),
-            ("sequence", known.sequence.into()),
+            ("instance", current.lifetime.id.into()),
+            ("born", started_at.into()),
+            ("ready", current.ready.into()),
+            ("slots", current.slots.into()),
+            ("sequence", current.sequence.into()),
             ("source", source.into()),
         ];
         state.journal.change(state.now(), Event::Instance, &fields);
     }
 
-    pub(super) fn instance(&self) -> String {
-        let belief = self.belief.borrow();
-        let id = belief.current().map(|known| known.lifetime.id.clone());
+    /// The id of the current instance; empty if it is not known.
+    pub(super) fn instance_id(&self) -> String {
+        let tracker = self.tracker.borrow();
+        let id = tracker.current().map(|current| current.lifetime.id.clone());
         id.unwrap_or_default()
     }
 
-    /// The instance refused a connection: it is left alone for a moment.
+    /// Stops taking work until the instance accepts connections again.
     pub(super) fn suspend(&self, state: &Rc<State>) {
         self.bulkhead.borrow_mut().close();
         if !self.suspended.replace(true) {
@@ -142,26 +147,25 @@
             state.journal.change(state.now(), Event::Lost, &fields);
             tokio::task::spawn_local(resume(state.clone()));
         }
-        state.announce();
+        state.broadcast_load();
         self.advance(state);
     }
 }
 
-/// Opens the instance again once something listens at its address. Opened
-/// without the question, it was sent requests that came back each time, and
-/// all nodes wrote a line: 2,802 in the log of one day with crashes.
+/// Resumes a suspended instance once its address accepts connections.
+/// Resuming without this check would send it requests that fail at once.
 async fn resume(state: Rc<State>) {
-    let pause = std::time::Duration::from_millis(SUSPEND.0);
+    let pause = std::time::Duration::from_millis(RESUME_INTERVAL.0);
     let serve = &state.serve;
     loop {
         tokio::time::sleep(pause).await;
-        if !serve.pool.is_gone().await {
+        if !serve.pool.refuses_connections().await {
             break;
         }
     }
     serve.suspended.set(false);
-    if serve.belief.borrow().is_ready() && !serve.retired.get() {
-        serve.reopen();
-        state.announce();
+    if serve.tracker.borrow().is_ready() && !serve.draining.get() {
+        serve.update_bulkhead();
+        state.broadcast_load();
     }
 }
--- a/crates/walnutmoor/src/mesh/connection.rs
+++ b/crates/walnutmoor/src/mesh/connection.rs
@@ -94,7 +94,7 @@
     fn drop(&mut self) {
         let open = &self.state.connections;
         open.set(open.get() - 1);
-        let all = &self.state.ahead;
+        let all = &self.state.undecoded_bytes;
         all.set(all.get() - self.ahead);
     }
 }
@@ -205,13 +205,14 @@
             return false;
         }
         let memory = (self.state.settings.memory << 20) as f64;
-        let is_over = self.state.ahead.get() as f64 > memory * AHEAD_PART;
+        let is_over =
+            self.state.undecoded_bytes.get() as f64 > memory * AHEAD_PART;
         !is_over || self.pending.is_empty()
     }
 
     fn count_ahead(&mut self) {
         let buffered = self.decoder.buffered();
-        let all = &self.state.ahead;
+        let all = &self.state.undecoded_bytes;
         all.set(all.get() - self.ahead + buffered);
         self.ahead = buffered;
     }
--- a/crates/walnutmoor/src/mesh/control.rs
+++ b/crates/walnutmoor/src/mesh/control.rs
@@ -1,6 +1,6 @@
 /*!
-What the platform and the instance ask of a node: heartbeats, readiness and
-metrics.
+HTTP endpoints for the platform and the local instance: heartbeats, readiness
+and metrics.
 */
 
 use std::{convert::Infallible, rc::Rc, time::Duration};
@@ -18,22 +18,26 @@
     state::{Phase, State},
 };
 
-/// The longest body of a heartbeat.
-const BODY_MAX: usize = 16 << 10;
+/// The maximum length of a heartbeat's body.
+const MAX_HEARTBEAT_BYTES: usize = 16 << 10;
 
-/// What a listener answers.
+/// The endpoint that a listener serves.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Desk {
-    /// Whether callers may come.
+pub enum Endpoint {
+    /// Readiness for callers' requests.
     Ready,
-    /// Heartbeats.
+    /// Heartbeats of the local instance.
     Heartbeat,
-    /// Metrics as text.
+    /// Metrics in text format.
     Metrics,
 }
 
 /// Accepts connections until the process ends.
-pub async fn listen(state: Rc<State>, listener: TcpListener, desk: Desk) {
+pub async fn listen(
+    state: Rc<State>,
+    listener: TcpListener,
+    endpoint: Endpoint,
+) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -42,43 +46,45 @@
         let state = state.clone();
         let service = service_fn(move |request| {
             let state = state.clone();
-            async move { Ok::<_, Infallible>(answer(&state, desk, request).await) }
+            async move {
+                Ok::<_, Infallible>(handle(&state, endpoint, request).await)
+            }
         });
         tokio::task::spawn_local(async move {
             let io = TokioIo::new(stream);
             let mut builder = http1::Builder::new();
             builder.auto_date_header(false);
-            // Whoever breaks off asks again.
+            // Clients retry after a broken connection.
             let _ = builder.serve_connection(io, service).await;
         });
     }
 }
 
-async fn answer(
+async fn handle(
     state: &Rc<State>,
-    desk: Desk,
+    endpoint: Endpoint,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-    match desk {
-        Desk::Ready if request.uri().path() == heartbeat::READY => {
-            reply(ready(state), "")
+    match endpoint {
+        Endpoint::Ready if request.uri().path() == heartbeat::READY => {
+            reply(readiness(state), "")
         }
-        Desk::Ready => reply(StatusCode::NOT_FOUND, ""),
-        Desk::Heartbeat => heartbeat(state, request).await,
-        Desk::Metrics => {
+        Endpoint::Ready => reply(StatusCode::NOT_FOUND, ""),
+        Endpoint::Heartbeat => heartbeat(state, request).await,
+        Endpoint::Metrics => {
             crate::telemetry::mesh(state);
-            let mut answer = Response::new(Full::new(Bytes::from(
+            let mut response = Response::new(Full::new(Bytes::from(
                 crate::telemetry::render(),
             )));
             let text = http::HeaderValue::from_static("text/plain");
             let name = http::header::CONTENT_TYPE;
-            answer.headers_mut().insert(name, text);
-            answer
+            response.headers_mut().insert(name, text);
+            response
         }
     }
 }
 
-fn ready(state: &State) -> StatusCode {
+fn readiness(state: &State) -> StatusCode {
     let serving = state.phase.get() == Phase::Serving;
     match serving && state.table().is_some() {
         true => StatusCode::OK,
@@ -91,7 +97,7 @@
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     let (head, body) = request.into_parts();
-    let body = match Limited::new(body, BODY_MAX).collect().await {
+    let body = match Limited::new(body, MAX_HEARTBEAT_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(_) => return reply(StatusCode::PAYLOAD_TOO_LARGE, ""),
     };
@@ -106,8 +112,8 @@
     reply(StatusCode::OK, heartbeat::ACKNOWLEDGEMENT)
 }
 
-/// Refuses what no instance beside this node would say. What is believed
-/// stays as it is.
+/// Logs and refuses an invalid heartbeat, which leaves the tracked lifetime
+/// unchanged.
 fn refuse(state: &State, why: String) -> Response<Full<Bytes>> {
     let fields = [("why", why.into())];
     state.journal.change(state.now(), Event::Fault, &fields);
@@ -116,9 +122,9 @@
 
 fn reply(status: StatusCode, body: &'static str) -> Response<Full<Bytes>> {
     let body = Full::new(Bytes::from_static(body.as_bytes()));
-    let mut answer = Response::new(body);
-    *answer.status_mut() = status;
+    let mut response = Response::new(body);
+    *response.status_mut() = status;
     let json = http::HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(http::header::CONTENT_TYPE, json);
-    answer
+    response.headers_mut().insert(http::header::CONTENT_TYPE, json);
+    response
 }
--- a/crates/walnutmoor/src/mesh/crash.rs
+++ b/crates/walnutmoor/src/mesh/crash.rs
@@ -1,10 +1,11 @@
 /*!
-Tells that the instance beside this node has crashed, and what it ran then.
+Detects crashes of the local instance, and which requests it was running.
 
-A connection that breaks tells little: instances also forget idle connections
-and cut answers. An instance has crashed if it had not said that it leaves, and
-either nothing listens at its address any more, or another lifetime speaks
-there. The second finds a crash that this node slept through.
+A broken connection alone is not a crash: instances also drop idle connections
+and truncate responses. An instance has crashed if it had not announced its
+departure, and either its address refuses connections or a report of another
+lifetime arrives. The latter detects crashes that this node did not observe,
+such as while it was paused.
 */
 
 use std::{
@@ -23,99 +24,108 @@
 
 use super::{journal::Event, serve::Serve, state::State};
 
-/// How long a run that ended without an answer counts as under way when the
-/// instance crashed. A crash that was slept through is told by the next
-/// heartbeat of the instance, which comes within some 2 s.
-const CUT_FOR: Millis = Millis(3_000);
+/// How long a run that ended without a response counts as in flight at a
+/// crash. It exceeds the heartbeat interval, as a crash may be detected only
+/// by the next heartbeat.
+const MAX_INTERRUPTED_AGE: Millis = Millis(3_000);
 
-/// Such runs that are remembered: all that a large instance runs at once.
-const CUT_MAX: usize = 512;
+/// The maximum number of such runs that are remembered.
+const MAX_INTERRUPTED_RUNS: usize = 512;
 
-/// How long it is believed what the instance's address told; runs that broke
-/// together ask once.
-const PROBE_FOR: Millis = Millis(20);
+/// How long the result of a probe is reused, so that runs that break together
+/// probe once.
+const PROBE_TTL: Millis = Millis(20);
 
-/// The pause before the address is asked again where something still listened
-/// as a connection broke. An estimate: a process has some thousand sockets to
-/// close. It is all that a connection which broke by itself adds to an answer.
-const ASK_AGAIN: Duration = Duration::from_millis(10);
+/// The pause before a second probe if the address still accepted connections
+/// when a connection broke. It delays the reply if there was no crash.
+const REPROBE_DELAY: Duration = Duration::from_millis(10);
 
-/// Fingerprints in the line of a crash at the most, 35 bytes each.
-const NAMED_MAX: usize = 32;
+/// The maximum number of fingerprints in the log line of a crash.
+const MAX_LOGGED_FINGERPRINTS: usize = 32;
 
-/// What is known of crashes of the instance.
+/// Detects crashes of the instance.
 #[derive(Debug, Default)]
 pub struct Detector {
-    /// Runs that ended without an answer, by their end.
-    cut: RefCell<VecDeque<(Millis, Fingerprint)>>,
-    /// The lifetime that has crashed last.
-    crashed: RefCell<Option<Lifetime>>,
-    probe: Mutex<()>,
-    /// When the address was asked last, and whether nothing listened.
-    probed: Cell<(Millis, bool)>,
+    /// Runs that ended without a response, with the time of their end.
+    interrupted: RefCell<VecDeque<(Millis, Fingerprint)>>,
+    /// The lifetime that crashed most recently.
+    last_crashed: RefCell<Option<Lifetime>>,
+    probe_lock: Mutex<()>,
+    /// The time of the last probe, and whether the connection was refused.
+    last_probe: Cell<(Millis, bool)>,
 }
 
 impl Detector {
-    /// A run has ended without an answer: its connection broke, or nobody
-    /// waited any more.
-    pub(super) fn note_cut(&self, now: Millis, fingerprint: Fingerprint) {
-        let mut cut = self.cut.borrow_mut();
-        if cut.len() == CUT_MAX {
-            cut.pop_front();
+    /// Records a run that ended without a response: its connection broke, or
+    /// it was cancelled.
+    pub(super) fn record_interrupted(
+        &self,
+        now: Millis,
+        fingerprint: Fingerprint,
+    ) {
+        let mut interrupted = self.interrupted.borrow_mut();
+        if interrupted.len() == MAX_INTERRUPTED_RUNS {
+            interrupted.pop_front();
         }
-        cut.push_back((now, fingerprint));
+        interrupted.push_back((now, fingerprint));
     }
 
-    /// Runs that ended without an answer a moment ago.
-    fn take_cut(&self, now: Millis) -> Vec<Fingerprint> {
-        let cut = self.cut.take().into_iter();
-        let recent = cut.filter(|(at, _)| now.since(*at) <= CUT_FOR);
+    /// Takes the runs that recently ended without a response.
+    fn take_interrupted(&self, now: Millis) -> Vec<Fingerprint> {
+        let interrupted = self.interrupted.take().into_iter();
+        let recent = interrupted
+            .filter(|(at, _)| now.since(*at) <= MAX_INTERRUPTED_AGE);
         recent.map(|(_, fingerprint)| fingerprint).collect()
     }
 
-    /// The crash of this lifetime, if it is known. The time of its start may
-    /// have been heard in between; it is still one crash.
+    /// The crash of this lifetime, if one was recorded. Matches also if its
+    /// start time became known only after the crash.
     fn crash_of(&self, lifetime: &Lifetime) -> Option<Crash> {
-        let crashed = self.crashed.borrow();
-        let crashed = crashed.as_ref().filter(|c| c.matches(lifetime));
-        crashed.map(Crash::from)
+        let last_crashed = self.last_crashed.borrow();
+        let last_crashed =
+            last_crashed.as_ref().filter(|last| last.matches(lifetime));
+        last_crashed.map(Crash::from)
     }
 }
 
 impl Serve {
-    /// A connection broke under a run: the crash of the instance, if that is
-    /// why.
-    pub(super) async fn find_crash(&self, state: &Rc<State>) -> Option<Crash> {
-        let known = self.belief.borrow().current().cloned()?;
-        if !known.ready || !self.is_gone(state).await {
+    /// Determines whether a broken connection was caused by a crash of the
+    /// instance, and returns the crash.
+    pub(super) async fn detect_crash(
+        &self,
+        state: &Rc<State>,
+    ) -> Option<Crash> {
+        let current = self.tracker.borrow().current().cloned()?;
+        if !current.ready || !self.refuses_connections(state).await {
             return None;
         }
-        self.note_crash(state, &known.lifetime, "nothing listens");
+        self.record_crash(state, &current.lifetime, "nothing listens");
         self.suspend(state);
-        self.detector.crash_of(&known.lifetime)
+        self.detector.crash_of(&current.lifetime)
     }
 
-    /// Asks the instance's address, once for all runs that broke together.
-    async fn is_gone(&self, state: &State) -> bool {
+    /// Probes the instance's address, once for runs that break together.
+    async fn refuses_connections(&self, state: &State) -> bool {
         let detector = &self.detector;
-        let _guard = detector.probe.lock().await;
-        let (at, gone) = detector.probed.get();
-        if at > Millis(0) && state.now().since(at) <= PROBE_FOR {
-            return gone;
+        let _guard = detector.probe_lock.lock().await;
+        let (at, refused) = detector.last_probe.get();
+        if at > Millis(0) && state.now().since(at) <= PROBE_TTL {
+            return refused;
         }
-        let mut gone = self.pool.is_gone().await;
-        if !gone {
-            // A process that ends closes its connections one after another,
-            // and the listener may be the last.
-            tokio::time::sleep(ASK_AGAIN).await;
-            gone = self.pool.is_gone().await;
+        let mut refused = self.pool.refuses_connections().await;
+        if !refused {
+            // An exiting process may close its listener after its other
+            // connections.
+            tokio::time::sleep(REPROBE_DELAY).await;
+            refused = self.pool.refuses_connections().await;
         }
-        detector.probed.set((state.now(), gone));
-        gone
+        detector.last_probe.set((state.now(), refused));
+        refused
     }
 
-    /// This lifetime of the instance has ended without a word.
-    pub(super) fn note_crash(
+    /// Records that this lifetime of the instance ended without announcing
+    /// its departure.
+    pub(super) fn record_crash(
         &self,
         state: &Rc<State>,
         lifetime: &Lifetime,
@@ -124,25 +134,26 @@
         if self.detector.crash_of(lifetime).is_some() {
             return;
         }
-        *self.detector.crashed.borrow_mut() = Some(lifetime.clone());
+        *self.detector.last_crashed.borrow_mut() = Some(lifetime.clone());
         let now = state.now();
-        let ran = self.under_crash(now);
-        let named = ran.iter().take(NAMED_MAX).map(ToString::to_string);
+        let ran = self.running_at_crash(now);
+        let logged =
+            ran.iter().take(MAX_LOGGED_FINGERPRINTS).map(ToString::to_string);
         let fields = [
             ("instance", lifetime.id.as_str().into()),
             ("source", source.into()),
             ("ran", ran.len().into()),
-            ("fingerprints", named.collect::<Vec<_>>().into()),
+            ("fingerprints", logged.collect::<Vec<_>>().into()),
         ];
         state.journal.change(now, Event::Crash, &fields);
-        state.accuse(Crash::from(lifetime), &ran);
+        state.record_local_crash(Crash::from(lifetime), &ran);
     }
 
-    /// What ran when the instance crashed, each once.
-    fn under_crash(&self, now: Millis) -> Vec<Fingerprint> {
+    /// The distinct requests that ran when the instance crashed.
+    fn running_at_crash(&self, now: Millis) -> Vec<Fingerprint> {
         let jobs = self.jobs.borrow();
         let running = jobs.values().filter(|job| job.call.is_none());
-        let mut ran = self.detector.take_cut(now);
+        let mut ran = self.detector.take_interrupted(now);
         ran.extend(running.map(|job| job.fingerprint));
         ran.sort_unstable();
         ran.dedup();
--- a/crates/walnutmoor/src/mesh/desired.rs
+++ b/crates/walnutmoor/src/mesh/desired.rs
@@ -142,7 +142,7 @@
 
     fn put_in_force(&self, table: Table, raw: Bytes) {
         self.audit_keys(&table.accounts);
-        self.renew_quotas(&table.accounts);
+        self.reconfigure_quotas(&table.accounts);
         *self.desired.table.borrow_mut() = Some(Rc::new(table));
         *self.desired.raw.borrow_mut() = raw;
         self.splitter.borrow_mut().reset();
@@ -260,7 +260,7 @@
         };
         self.desired.unable_until.set(until);
         if before != reached {
-            self.announce();
+            self.broadcast_load();
         }
     }
 
--- a/crates/walnutmoor/src/mesh/dispatch.rs
+++ b/crates/walnutmoor/src/mesh/dispatch.rs
@@ -119,7 +119,7 @@
         if self.landed {
             return;
         }
-        self.state.balance.borrow_mut().done(self.node, None);
+        self.state.balancer.borrow_mut().done(self.node, None);
         match &self.way {
             Way::Local(id) => self.state.serve.cancel(self.state, *id),
             Way::Remote(link, id) => link.cancel(*id),
@@ -207,7 +207,7 @@
     if crashes >= poison::MIN_CRASHES_TO_SHARE && course.way.may_have_run() {
         return Next::Hold;
     }
-    let balance = state.balance.borrow();
+    let balance = state.balancer.borrow();
     let scope = course.way.scope();
     let usable = balance.usable(state.now(), &request.service, &scope);
     let known = balance.count(&request.service);
@@ -230,7 +230,7 @@
     let now = state.now();
     let time_left = Some(request.deadline.since(now));
     let scope = retry_state::Scope { time_left, ..course.way.scope() };
-    state.balance.borrow_mut().choose_within(now, pick, &scope)
+    state.balancer.borrow_mut().choose_within(now, pick, &scope)
 }
 
 /// What has become of a request so far.
@@ -266,7 +266,7 @@
             }
             Reply::Unknown(kind) => (kind.as_str(), *kind),
             Reply::Crashed(crash) => {
-                state.accuse_own(*crash, request.fingerprint);
+                state.record_reported_crash(*crash, request.fingerprint);
                 ("the instance crashed", Kind::Broken)
             }
         };
@@ -339,7 +339,7 @@
 
 /// What a reply says, and what it tells of the instance.
 fn judge(state: &State, node: NodeId, reply: &Reply) -> Outcome {
-    let mut balance = state.balance.borrow_mut();
+    let mut balance = state.balancer.borrow_mut();
     let (word, failed) = match reply {
         Reply::Answered { status, footprint, .. } => {
             let starved = footprint.has_refused_call();
@@ -406,7 +406,7 @@
     };
     let (way, receiver) = if node == state.me {
         let (sender, receiver) = oneshot::channel();
-        let id = state.serve.number();
+        let id = state.serve.allocate_call_id();
         state.serve.submit(state, id, call, Sink::Local(sender));
         (Way::Local(id), receiver)
     } else {
@@ -414,7 +414,7 @@
         let (id, receiver) = link.call(call)?;
         (Way::Remote(link, id), receiver)
     };
-    state.balance.borrow_mut().sent(node);
+    state.balancer.borrow_mut().sent(node);
     Some((Flight { state, node, way, landed: false }, receiver))
 }
 
--- a/crates/walnutmoor/src/mesh/ingress.rs
+++ b/crates/walnutmoor/src/mesh/ingress.rs
@@ -88,7 +88,7 @@
 
 impl Stay {
     fn new(state: &Rc<State>, attempt: &str) -> Stay {
-        state.under_way.set(state.under_way.get() + 1);
+        state.in_flight.set(state.in_flight.get() + 1);
         Stay {
             state: state.clone(),
             attempt: attempt.to_string(),
@@ -111,8 +111,8 @@
 impl Drop for Stay {
     fn drop(&mut self) {
         let state = &self.state;
-        state.under_way.set(state.under_way.get() - 1);
-        state.held.set(state.held.get() - self.held);
+        state.in_flight.set(state.in_flight.get() - 1);
+        state.buffered_bytes.set(state.buffered_bytes.get() - self.held);
         if self.is_over {
             return;
         }
@@ -218,13 +218,13 @@
         if self.body.len() + data.len() > self.body_max {
             return Err(Kind::TooLarge);
         }
-        if state.held.get() + data.len() > held_max(state) {
+        if state.buffered_bytes.get() + data.len() > held_max(state) {
             return Err(Kind::Full);
         }
         self.content.update(data);
         self.body.extend_from_slice(data);
         self.stay.held += data.len();
-        state.held.set(state.held.get() + data.len());
+        state.buffered_bytes.set(state.buffered_bytes.get() + data.len());
         Ok(())
     }
 
@@ -303,7 +303,7 @@
     if state.phase.get() == Phase::Finishing {
         return Err(Kind::Leaving);
     }
-    if state.under_way.get() > UNDER_WAY_MAX {
+    if state.in_flight.get() > UNDER_WAY_MAX {
         return Err(Kind::Full);
     }
     if stay.attempt.is_empty() {
@@ -317,7 +317,8 @@
         if length > table.limits.max_body_bytes {
             return Err(Kind::TooLarge);
         }
-        if length > held_max(state).saturating_sub(state.held.get()) {
+        if length > held_max(state).saturating_sub(state.buffered_bytes.get())
+        {
             return Err(Kind::Full);
         }
     }
@@ -336,7 +337,7 @@
     let key = header::key(&head.headers);
     let sender = Sender {
         is_public: route.is_public,
-        is_local_run: state.serve.is_made_here(id),
+        is_local_run: state.serve.is_nested_call(id),
         has_call_id: header::parent(id).is_some(),
     };
     let account = accounts.authenticate(key, sender)?.cloned();
@@ -399,7 +400,7 @@
         let throttle = state.throttle.borrow();
         let let_in = throttle.admitted_fraction(&stay.route);
         let spent = throttle.retry_budget_spent(&stay.route);
-        let demand = state.balance.borrow().pressures().worst.demand;
+        let demand = state.balancer.borrow().pressures().worst.demand;
         let fields = [
             ("why", kind.as_str().into()),
             ("route", stay.route.as_str().into()),
@@ -417,7 +418,7 @@
     match refusal.retry_after {
         Some(span) => {
             let span = Millis(span.0.max(RETRY_MIN.0));
-            wire::refuse(kind, state.spread(span))
+            wire::refuse(kind, state.jitter(span))
         }
         None => wire::fail(kind),
     }
@@ -452,7 +453,7 @@
     telemetry::count_account(stay.account(), outcome);
     metrics::histogram!("walnutmoor_request_seconds").record(after.secs());
     if state.journal.has_room(now, event) {
-        let last = tried.last().and_then(|n| state.balance.borrow().load(*n));
+        let last = tried.last().and_then(|n| state.balancer.borrow().load(*n));
         let wait = last.map(|l| l.waits[usize::from(request.urgency)]);
         let nodes = tried.iter().map(ToString::to_string);
         let mut fields = vec![
@@ -482,7 +483,7 @@
         }
         End::Refused(kind, retry) => {
             let retry = Millis(retry.0.max(RETRY_MIN.0));
-            wire::refuse(kind, state.spread(retry))
+            wire::refuse(kind, state.jitter(retry))
         }
         End::Failed(kind) => wire::fail(kind),
     }
--- a/crates/walnutmoor/src/mesh/ingress/admission.rs
+++ b/crates/walnutmoor/src/mesh/ingress/admission.rs
@@ -22,7 +22,7 @@
     http1::Head,
     mesh::{
         dispatch::{self, End},
-        serve::Called,
+        serve::CallOutcome,
         state::State,
         wire,
     },
@@ -69,7 +69,7 @@
     Ok(dispatch::Request {
         urgency,
         inner: parent.is_some(),
-        echo: parent.is_some_and(|parent| parent.repeat),
+        echo: parent.is_some_and(|parent| parent.is_retry),
         service,
         account: account.map(|account| account.name.clone()),
         attempt: stay.attempt.clone(),
@@ -91,9 +91,9 @@
     route: &Route,
     left: Millis,
 ) -> bool {
-    let returns = state.returns(&route.name, left);
+    let returns = state.is_likely_retry(&route.name, left);
     let throttle = state.throttle.borrow();
-    if !throttle.admits(&route.name, returns, state.draw()) {
+    if !throttle.admits(&route.name, returns, state.random_fraction()) {
         return false;
     }
     // A caller may try again what is idempotent, whatever has become of it.
@@ -133,14 +133,18 @@
     }
     match end {
         End::Answered { footprint, .. } if request.inner => {
-            let called = Called::Answered(footprint);
-            state.serve.called(&request.attempt, called);
+            let called = CallOutcome::Answered(footprint);
+            state.serve.record_call_outcome(&request.attempt, called);
         }
         End::Refused(..) if request.inner => {
-            state.serve.called(&request.attempt, Called::TurnedAway);
+            state
+                .serve
+                .record_call_outcome(&request.attempt, CallOutcome::Rejected);
         }
         End::Failed(_) if request.inner && is_fatal(state, request) => {
-            state.serve.called(&request.attempt, Called::Fatal);
+            state
+                .serve
+                .record_call_outcome(&request.attempt, CallOutcome::Crashed);
         }
         End::Answered { status, footprint, .. } => {
             if *status < 500 {
--- a/crates/walnutmoor/src/mesh/instance.rs
+++ b/crates/walnutmoor/src/mesh/instance.rs
@@ -1,11 +1,11 @@
 /*!
-HTTP with the instance beside this node.
+HTTP client and connection pool for the local instance.
 
-An instance serves one request at a time on a connection, closes idle ones,
-and may send a second answer late, at the point where the next one is due. So
-connections are used in turn, the one that has rested longest first: a late
-answer then finds its connection idle, which ends the connection and harms no
-request.
+An instance serves one request at a time on a connection, closes idle
+connections, and may send a second response late, where the response of the
+next request is expected. The connection that has been idle longest is used
+first, so that a late response arrives on an idle connection, which is then
+closed, and is not taken for the response of another request.
 */
 
 use std::{
@@ -24,39 +24,38 @@
 use walnutmoor_core::{table::Effect, time::Millis};
 use walnutmoor_platform::header::{self, Verdict};
 
-/// How long a connection to the instance may take; it is on this machine
-/// and takes a millisecond.
-const CONNECT_WITHIN: Duration = Duration::from_millis(400);
+/// The timeout for connecting to the instance, which is on the same host.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long the question may take whether anything listens there. The system
-/// answers it without the instance, in about a millisecond.
-const ASK_WITHIN: Duration = Duration::from_millis(100);
+/// The timeout for finding out whether the instance's port is open. The
+/// kernel answers without the instance.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How long a connection may rest where the instance does not say how long
-/// it keeps one.
-const REST_MAX: Millis = Millis(4_000);
+/// The idle timeout of a connection if the instance sends no keep-alive
+/// timeout.
+const DEFAULT_IDLE_TIMEOUT: Millis = Millis(4_000);
 
-/// The part of the time that the instance names for which a connection is
-/// used: the instance must not close one as a request is on its way.
-const REST_PART: f64 = 0.6;
+/// The fraction of the instance's keep-alive timeout for which a connection
+/// is reused, so that the instance does not close it during a request.
+const KEEP_ALIVE_FRACTION: f64 = 0.6;
 
-/// How long a connection rests before its next use, if others can be had.
-/// Late second answers come within some tens of milliseconds.
-const REST_MIN: Millis = Millis(40);
+/// How long a connection stays idle before it is reused, so that a late
+/// second response arrives first.
+const MIN_IDLE_TIME: Millis = Millis(40);
 
-/// How long a connection may have rested before a request that may run only
-/// once. Some instances forget idle connections without a word and reset
-/// what comes next; a new connection costs a millisecond.
-const ONCE_REST_MAX: Millis = Millis(250);
+/// The longest idle time of a connection that is reused for a request that
+/// may run only once. Some instances drop idle connections silently and reset
+/// the next request on them.
+const MAX_ONCE_IDLE_TIME: Millis = Millis(250);
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Debug)]
 pub enum Outcome {
-    /// An answer, whole, and what it is worth.
-    Answer(Verdict, StatusCode, HeaderMap, Bytes),
-    /// The instance can't be reached; nothing was sent.
+    /// A complete response, and whether it is genuine.
+    Response(Verdict, StatusCode, HeaderMap, Bytes),
+    /// The instance is unreachable; nothing was sent.
     Unreachable,
-    /// The connection broke before the answer was whole.
+    /// The connection broke before the response was complete.
     Broken(String),
 }
 
@@ -64,19 +63,18 @@
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
-    rested_since: Millis,
-    rest_max: Millis,
+    idle_since: Millis,
+    idle_timeout: Millis,
 }
 
 impl Drop for Connection {
-    /// Closes the socket, also under a request: this is how an instance
-    /// learns that nobody waits any more.
+    /// Closes the socket, which cancels a request in flight.
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// The connections to the instance.
+/// A pool of connections to the instance.
 #[derive(Debug)]
 pub struct Pool {
     address: SocketAddr,
@@ -85,19 +83,19 @@
 }
 
 impl Pool {
-    /// No connection yet.
+    /// Creates an empty pool for the instance at this address.
     pub fn new(address: SocketAddr) -> Pool {
         let idle = RefCell::new(VecDeque::new());
         Pool { address, idle, opened: Cell::new(0) }
     }
 
-    /// Connections that were opened.
+    /// The number of connections opened since the start.
     pub fn opened(&self) -> u64 {
         self.opened.get()
     }
 
-    /// Sends a request and reads its whole answer, which must name this
-    /// attempt.
+    /// Sends a request and reads its complete response, which must carry the
+    /// id of this attempt.
     pub async fn send(
         &self,
         now: impl Fn() -> Millis,
@@ -107,7 +105,8 @@
     ) -> Outcome {
         let mut request = request;
         loop {
-            let (mut connection, fresh) = match self.rested(now(), effect) {
+            let (mut connection, is_new) = match self.take_idle(now(), effect)
+            {
                 Some(connection) => (connection, false),
                 None => match self.connect(now()).await {
                     Some(connection) => (connection, true),
@@ -125,53 +124,54 @@
                     let verdict =
                         header::judge(status.as_u16(), &headers, attempt);
                     if verdict != Verdict::Foreign {
-                        self.rest(now(), connection, &headers);
+                        self.put_idle(now(), connection, &headers);
                     }
-                    return Outcome::Answer(verdict, status, headers, body);
+                    return Outcome::Response(verdict, status, headers, body);
                 }
                 Err(mut error) => match error.take_message() {
-                    // The connection was closed while it rested.
-                    Some(message) if !fresh => request = message,
+                    // The connection was closed while it was idle.
+                    Some(message) if !is_new => request = message,
                     Some(_) => return Outcome::Unreachable,
                     None => {
-                        let why = error.into_error().to_string();
-                        return Outcome::Broken(why);
+                        let error = error.into_error().to_string();
+                        return Outcome::Broken(error);
                     }
                 },
             }
         }
     }
 
-    /// True if nothing listens at the instance's address: its process is
-    /// gone. One that is only too full lets a connection wait or breaks it.
-    pub async fn is_gone(&self) -> bool {
+    /// True if the instance's address refuses connections: its process has
+    /// exited. One that is overloaded delays or resets them instead.
+    pub async fn refuses_connections(&self) -> bool {
         let stream = TcpStream::connect(self.address);
         let refused = std::io::ErrorKind::ConnectionRefused;
-        match timeout(ASK_WITHIN, stream).await {
+        match timeout(PROBE_TIMEOUT, stream).await {
             Ok(Err(error)) => error.kind() == refused,
             Ok(Ok(_)) | Err(_) => false,
         }
     }
 
-    /// Closes resting connections that the instance is about to close.
-    pub fn sweep(&self, now: Millis) {
+    /// Closes idle connections that the instance is about to close.
+    pub fn close_expired(&self, now: Millis) {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|connection| connection.is_usable(now));
     }
 
-    /// Closes all resting connections: another instance has the address.
+    /// Closes all idle connections. Used when another instance has taken over
+    /// the address.
     pub fn clear(&self) {
         self.idle.borrow_mut().clear();
     }
 
-    fn rested(&self, now: Millis, effect: Effect) -> Option<Connection> {
+    fn take_idle(&self, now: Millis, effect: Effect) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         if effect == Effect::Once {
-            // The newest that has rested long enough for late answers.
+            // The most recently used one that is past late responses.
             let at = idle.iter().rposition(|connection| {
-                let rested = now.since(connection.rested_since);
-                let range = REST_MIN..ONCE_REST_MAX;
-                range.contains(&rested) && connection.is_usable(now)
+                let idle_time = now.since(connection.idle_since);
+                let range = MIN_IDLE_TIME..MAX_ONCE_IDLE_TIME;
+                range.contains(&idle_time) && connection.is_usable(now)
             })?;
             return idle.remove(at);
         }
@@ -180,7 +180,7 @@
                 idle.pop_front();
                 continue;
             }
-            if now.since(first.rested_since) < REST_MIN {
+            if now.since(first.idle_since) < MIN_IDLE_TIME {
                 return None;
             }
             return idle.pop_front();
@@ -188,42 +188,47 @@
         None
     }
 
-    fn rest(&self, now: Millis, mut used: Connection, answer: &HeaderMap) {
-        if used.sender.is_closed() || has_close(answer) {
+    fn put_idle(
+        &self,
+        now: Millis,
+        mut connection: Connection,
+        headers: &HeaderMap,
+    ) {
+        if connection.sender.is_closed() || has_close(headers) {
             return;
         }
-        if let Some(kept) = header::keep_alive(answer) {
-            let part = kept.0 as f64 * REST_PART;
-            used.rest_max = Millis(part as u64);
+        if let Some(keep_alive) = header::keep_alive(headers) {
+            let timeout = keep_alive.0 as f64 * KEEP_ALIVE_FRACTION;
+            connection.idle_timeout = Millis(timeout as u64);
         }
-        used.rested_since = now;
-        self.idle.borrow_mut().push_back(used);
+        connection.idle_since = now;
+        self.idle.borrow_mut().push_back(connection);
     }
 
     async fn connect(&self, now: Millis) -> Option<Connection> {
         let stream = TcpStream::connect(self.address);
-        let stream = timeout(CONNECT_WITHIN, stream).await.ok()?.ok()?;
+        let stream = timeout(CONNECT_TIMEOUT, stream).await.ok()?.ok()?;
         stream.set_nodelay(true).ok()?;
         let io = TokioIo::new(stream);
         let (sender, driver) = http1::handshake(io).await.ok()?;
         let task = tokio::task::spawn_local(async move {
-            // The request on this connection tells what went wrong.
+            // Errors are returned by the request on this connection.
             let _ = driver.await;
         });
         self.opened.set(self.opened.get() + 1);
         Some(Connection {
             sender,
             task: task.abort_handle(),
-            rested_since: now,
-            rest_max: REST_MAX,
+            idle_since: now,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
         })
     }
 }
 
 impl Connection {
     fn is_usable(&self, now: Millis) -> bool {
-        let rested = now.since(self.rested_since);
-        !self.sender.is_closed() && rested < self.rest_max
+        let idle_time = now.since(self.idle_since);
+        !self.sender.is_closed() && idle_time < self.idle_timeout
     }
 }
 
--- a/crates/walnutmoor/src/mesh/link.rs
+++ b/crates/walnutmoor/src/mesh/link.rs
@@ -231,7 +231,7 @@
         if self.suspected.replace(true) {
             return;
         }
-        state.balance.borrow_mut().down(self.node, Millis::NEVER);
+        state.balancer.borrow_mut().down(self.node, Millis::NEVER);
         let fields = [
             ("peer", self.node.to_string().into()),
             ("silent_ms", now.since(self.heard.get()).0.into()),
@@ -248,7 +248,7 @@
         if !self.suspected.replace(false) {
             return;
         }
-        state.balance.borrow_mut().down(self.node, Millis(0));
+        state.balancer.borrow_mut().down(self.node, Millis(0));
         let fields = [
             ("peer", self.node.to_string().into()),
             ("why", "it answers again".into()),
--- a/crates/walnutmoor/src/mesh/link/carrier.rs
+++ b/crates/walnutmoor/src/mesh/link/carrier.rs
@@ -24,7 +24,7 @@
     frame::{self, Frame, Hello, PROTOCOL},
     journal::Event,
     state::State,
-    suspicion::PEER,
+    suspicion::SOURCE_PEER,
 };
 
 /// How long opening a connection and the first frames may take. A round
@@ -105,11 +105,11 @@
         // what the former one did with them.
         link.fail(|_| true);
     }
-    let mut balance = state.balance.borrow_mut();
+    let mut balance = state.balancer.borrow_mut();
     balance.join(link.node, &hello.service, &hello.zone);
     balance.down(link.node, Millis(0));
     drop(balance);
-    state.report(link.node, hello.load);
+    state.record_load(link.node, hello.load);
     link.heard.set(now);
     link.unanswered.set(None);
     link.suspected.set(false);
@@ -121,16 +121,16 @@
     ];
     state.journal.change(now, Event::Regained, &fields);
     for node in &hello.known {
-        state.learn(*node);
+        state.add_node(*node);
     }
-    state.quotas.hear_of(hello.fleet);
+    state.quotas.record_reported_size(hello.fleet);
     state.hear_era(hello.era);
 }
 
 fn end(state: &Rc<State>, link: &Rc<Link>, why: &str) {
     let now = state.now();
     link.out.borrow_mut().take();
-    state.balance.borrow_mut().down(link.node, Millis::NEVER);
+    state.balancer.borrow_mut().down(link.node, Millis::NEVER);
     let fields = [
         ("peer", link.node.to_string().into()),
         ("why", why.into()),
@@ -168,7 +168,7 @@
     if let Some(instance) = state.serve.departed() {
         let _ = out.send(Frame::Departed(instance));
     }
-    if let Some(evidence) = state.known_evidence() {
+    if let Some(evidence) = state.evidence_frame() {
         let _ = out.send(evidence);
     }
     let _ = out.send(Frame::Ping(state.edition()));
@@ -236,19 +236,21 @@
 fn take(state: &Rc<State>, link: &Rc<Link>, frame: Frame) {
     match frame {
         Frame::Answer(id, reply, load) => {
-            state.report(link.node, load);
+            state.record_load(link.node, load);
             link.settle(id, reply);
         }
         Frame::Pong(edition, able, load) => {
             link.is_able.set(able);
-            state.report(link.node, load);
+            state.record_load(link.node, load);
             state.told(edition, link.node);
         }
         Frame::Desired(stamp, raw) => {
             state.adopt(stamp, raw, Source::Peer);
         }
-        Frame::Evidence(told) => state.hear(&told, PEER),
-        Frame::Granted(account, answer) => state.granted(&account, answer),
+        Frame::Evidence(told) => state.merge_evidence(&told, SOURCE_PEER),
+        Frame::Granted(account, answer) => {
+            state.handle_lease_response(&account, answer)
+        }
         // The rest travels the other way.
         _ => {}
     }
--- a/crates/walnutmoor/src/mesh/mod.rs
+++ b/crates/walnutmoor/src/mesh/mod.rs
@@ -1,35 +1,33 @@
 /*!
-The mesh: a node on the users' platform, which carries requests of any host
-and path between callers, instances and other nodes.
+The mesh daemon: a node that forwards requests between callers, instances and
+other nodes.
 
-All requests of a node are carried by one thread. A node has four tenths of a
-core at the users', and each hand-over between threads costs a wake-up at
-either end; decisions take about a microsecond and are called directly. Logs
-are written by a thread of their own, behind a bounded ring, as standard
-output may block.
+A node handles all its requests on one thread, which avoids wake-ups between
+threads on hosts with little CPU. Logs are written by a separate thread behind
+a bounded buffer, as standard output may block.
 
-| module | job |
+| module | purpose |
 |---|---|
-| [`settings`] | the settings file |
-| [`node`] | starts the tasks, and ends them in order |
-| [`state`] | what the tasks share |
-| [`connection`] | a caller's connection, its requests at once and in order |
-| [`output`] | bytes that wait to be written to a caller |
-| [`ingress`] | takes callers' requests and answers them |
-| [`dispatch`] | finds the instance for a request, again if need be |
-| [`link`] | the way to one other node |
-| [`peer`] | the other end of that way |
-| [`frame`] | what travels between nodes |
-| [`serve`] | brings work to the instance beside this node |
-| [`run`](mod@run) | one run at the instance |
-| [`belief`] | what is believed of the instance |
-| [`crash`] | tells that the instance has crashed |
-| [`quotas`] | asks for the quotas of accounts, and deals them |
-| [`suspicion`] | what this node believes of requests that end instances |
-| [`instance`] | speaks HTTP with that instance |
-| [`control`] | heartbeats, readiness and metrics |
-| [`store`] | the platform's store: desired state and directory |
-| [`journal`] | the log |
+| [`settings`] | reads the settings file |
+| [`node`] | starts the tasks and shuts the node down |
+| [`state`] | holds the state shared by the tasks |
+| [`connection`] | serves a caller's connection, with pipelining |
+| [`output`] | buffers bytes to be written to a caller |
+| [`ingress`] | handles callers' requests at the entry node |
+| [`dispatch`] | selects instances for a request, and retries it |
+| [`link`] | keeps the outgoing connection to another node |
+| [`peer`] | serves incoming connections of other nodes |
+| [`frame`] | defines the frames exchanged between nodes |
+| [`serve`] | admits and runs calls on the local instance |
+| [`run`](mod@run) | sends one call to the local instance |
+| [`belief`] | follows the lifetime of the local instance |
+| [`crash`] | detects crashes of the local instance |
+| [`quotas`] | enforces the quotas of client accounts |
+| [`suspicion`] | tracks requests suspected of crashing instances |
+| [`instance`] | pools HTTP connections to the local instance |
+| [`control`] | serves heartbeats, readiness and metrics |
+| [`store`] | syncs desired state and directory with the platform's store |
+| [`journal`] | writes the log |
 
 # Example
 
--- a/crates/walnutmoor/src/mesh/node.rs
+++ b/crates/walnutmoor/src/mesh/node.rs
@@ -1,5 +1,5 @@
 /*!
-Starts the tasks of a node, and ends them in order.
+Starts the tasks of a node, and shuts it down gracefully.
 */
 
 use std::{path::PathBuf, rc::Rc, time::Duration};
@@ -16,7 +16,7 @@
 use walnutmoor_platform::header;
 
 use super::{
-    control::{self, Desk},
+    control::{self, Endpoint},
     ingress,
     instance::Outcome,
     journal::{Event, Journal},
@@ -25,35 +25,36 @@
     settings::Settings,
     state::{Phase, State},
     store,
-    suspicion::SWEEP,
+    suspicion::SWEEP_INTERVAL,
 };
 use crate::failure::Failure;
 
-/// Connections that wait to be accepted.
-const BACKLOG: u32 = 1_024;
+/// The listen backlog of each port.
+const LISTEN_BACKLOG: u32 = 1_024;
 
-/// From the signal to end until callers' new requests are refused. The
-/// platform asks once a second and sends nobody any more after two misses.
-const LEAVE_AFTER: Millis = Millis(3_200);
+/// How long new requests are served after the signal to exit, until the
+/// platform's readiness checks have failed and it sends no more.
+const DRAIN_DELAY: Millis = Millis(3_200);
 
-/// What is left of the grace when the process ends with work under way.
-const MARGIN: Millis = Millis(400);
+/// How long before the end of the grace period the process exits, even with
+/// work in flight.
+const SHUTDOWN_MARGIN: Millis = Millis(400);
 
-/// A timer that comes this much late tells that the process stood still.
-const PAUSED: Millis = Millis(400);
+/// The delay of a timer from which on the process counts as suspended.
+const PAUSE_THRESHOLD: Millis = Millis(400);
 
-/// How long a node waits for its instance's heartbeat before it asks for
-/// its health, and between such questions.
-const ASK_AFTER: Duration = Duration::from_millis(200);
+/// The initial pause before a health check of an instance that has sent no
+/// heartbeat yet.
+const MIN_HEALTH_CHECK_PAUSE: Duration = Duration::from_millis(200);
 
-/// The longest pause between questions for the instance's health.
-const ASK_MAX: Duration = Duration::from_millis(1_600);
+/// The maximum pause between health checks.
+const MAX_HEALTH_CHECK_PAUSE: Duration = Duration::from_millis(1_600);
 
-/// Runs a node until it is told to end.
+/// Runs a node until it receives SIGTERM.
 ///
 /// # Errors
 ///
-/// If a port can't be opened or the runtime does not start.
+/// If a port can't be opened or the runtime can't be started.
 pub fn run(settings: Settings, path: PathBuf) -> Result<(), Failure> {
     crate::telemetry::install_metrics()?;
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -69,42 +70,42 @@
     let state = State::new(settings, journal);
     let settings = &state.settings;
     let fields = [
-        ("life", state.life.0.into()),
+        ("life", state.incarnation.0.into()),
         ("service", settings.service.as_str().into()),
         ("zone", settings.zone.as_str().into()),
     ];
     state.journal.change(state.now(), Event::Start, &fields);
     let peers = bind(settings.peers)?;
     let callers = bind(settings.callers)?;
-    let desks = [
-        (settings.ready, Desk::Ready),
-        (settings.control, Desk::Heartbeat),
-        (settings.metrics, Desk::Metrics),
+    let endpoints = [
+        (settings.ready, Endpoint::Ready),
+        (settings.control, Endpoint::Heartbeat),
+        (settings.metrics, Endpoint::Metrics),
     ];
-    for (address, desk) in desks {
+    for (address, endpoint) in endpoints {
         let listener = bind(address)?;
-        spawn_local(control::listen(state.clone(), listener, desk));
+        spawn_local(control::listen(state.clone(), listener, endpoint));
     }
-    let own = &settings.service;
-    state.balance.borrow_mut().join(state.me, own, &settings.zone);
+    let service = &settings.service;
+    state.balancer.borrow_mut().join(state.me, service, &settings.zone);
     spawn_local(peer::listen(state.clone(), peers));
     spawn_local(ingress::listen(state.clone(), callers));
     spawn_local(store::desired(state.clone()));
     spawn_local(store::directory(state.clone()));
     spawn_local(store::suspects(state.clone()));
     spawn_local(store::write_suspects(state.clone()));
-    spawn_local(tick(state.clone()));
-    spawn_local(ask(state.clone()));
-    spawn_local(count(state.clone()));
-    spawn_local(throttle(state.clone()));
-    spawn_local(sweep(state.clone()));
-    let watch = state.clone();
-    spawn_local(async move { watch.serve.watch(&watch).await });
+    spawn_local(maintain(state.clone()));
+    spawn_local(check_unknown_instance(state.clone()));
+    spawn_local(log_counters(state.clone()));
+    spawn_local(adjust_throttle(state.clone()));
+    spawn_local(expire_suspicions(state.clone()));
+    let expiry = state.clone();
+    spawn_local(async move { expiry.serve.expire_queued(&expiry).await });
     spawn_local(reload(state.clone(), path));
-    terminated().await?;
-    leave(&state).await;
-    // Work that is still under way is cut by the end of the process; taking
-    // it down task by task would outlast the grace on a slow machine.
+    wait_for_sigterm().await?;
+    shut_down(&state).await;
+    // Exits without dropping the remaining tasks one by one, which could
+    // exceed the grace period on a slow host.
     std::process::exit(0);
 }
 
@@ -116,7 +117,7 @@
         };
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
-        socket.listen(BACKLOG)
+        socket.listen(LISTEN_BACKLOG)
     };
     listen().map_err(|cause: std::io::Error| Failure::Listen {
         address: address.to_string(),
@@ -124,7 +125,7 @@
     })
 }
 
-async fn terminated() -> Result<(), Failure> {
+async fn wait_for_sigterm() -> Result<(), Failure> {
     let stream = signal(SignalKind::terminate());
     let mut stream =
         stream.map_err(|error| Failure::Internal(error.to_string()))?;
@@ -132,8 +133,8 @@
     Ok(())
 }
 
-/// Reads the settings again when told to. Addresses can't change while the
-/// process runs; a file that names others is only reported.
+/// Validates the settings file on SIGHUP. Settings take effect only at the
+/// next start; the result is logged.
 async fn reload(state: Rc<State>, path: PathBuf) {
     let Ok(mut stream) = signal(SignalKind::hangup()) else {
         return;
@@ -148,45 +149,45 @@
     }
 }
 
-/// Looks after links and connections.
-async fn tick(state: Rc<State>) {
+/// Checks links, connections and the fleet periodically.
+async fn maintain(state: Rc<State>) {
     let mut last = state.now();
     let mut timer = interval(Duration::from_millis(LOOK.0));
     loop {
         timer.tick().await;
         let now = state.now();
-        let paused = now.since(last) > LOOK + PAUSED;
+        let paused = now.since(last) > LOOK + PAUSE_THRESHOLD;
         last = now;
         let links = state.links();
         let idle = link::idle(links.len());
         for link in links {
             link.check(&state, now, idle, paused);
         }
-        state.look_at_fleet(paused);
+        state.update_fleet(paused);
         state.catch_up();
-        state.serve.pool.sweep(now);
-        let siblings = state.balance.borrow().count(&state.settings.service);
+        state.serve.pool.close_expired(now);
+        let siblings = state.balancer.borrow().count(&state.settings.service);
         state.serve.share_slack(siblings);
         let load = state.serve.load(state.now());
-        state.report(state.me, load);
+        state.record_load(state.me, load);
     }
 }
 
-/// The pause between steps of admission.
-const STEP: Duration = Duration::from_millis(200);
+/// The pause between adjustments of admission control.
+const THROTTLE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Adjusts admission at the way in.
-async fn throttle(state: Rc<State>) {
-    let mut timer = interval(STEP);
+/// Adjusts admission control at the entry node periodically.
+async fn adjust_throttle(state: Rc<State>) {
+    let mut timer = interval(THROTTLE_INTERVAL);
     loop {
         timer.tick().await;
-        let pressures = state.balance.borrow().pressures();
+        let pressures = state.balancer.borrow().pressures();
         let pressure = pressures.worst;
         let changed = state.throttle.borrow_mut().step(pressures);
-        for (route, open) in changed {
+        for (route, admitted) in changed {
             let fields = [
                 ("route", route.as_str().into()),
-                ("let_in", open.into()),
+                ("let_in", admitted.into()),
                 ("demand", pressure.demand.into()),
                 ("pressed", pressure.shedding.into()),
             ];
@@ -196,24 +197,24 @@
     }
 }
 
-/// The pause between lines with counters.
-const COUNT_EVERY: Duration = Duration::from_secs(5);
+/// The pause between log lines with counters.
+const COUNTERS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Writes the counters, so that logs alone show the load of any time.
-async fn count(state: Rc<State>) {
+/// Logs the counters periodically.
+async fn log_counters(state: Rc<State>) {
     loop {
-        sleep(COUNT_EVERY).await;
+        sleep(COUNTERS_INTERVAL).await;
         let serve = &state.serve;
-        let (running, waiting) = serve.held();
-        let (alone, denied) = state.quotas.totals();
+        let (running, queued) = serve.job_counts();
+        let (local, refused) = state.quotas.decision_counts();
         let fields = [
-            ("quota_alone", alone.into()),
-            ("quota_denied", denied.into()),
-            ("under_way", state.under_way.get().into()),
+            ("quota_alone", local.into()),
+            ("quota_denied", refused.into()),
+            ("under_way", state.in_flight.get().into()),
             ("running", running.into()),
-            ("waiting", waiting.into()),
+            ("waiting", queued.into()),
             ("arrivals", serve.arrivals.get().into()),
-            ("repeats", serve.repeated.get().into()),
+            ("repeats", serve.retries.get().into()),
             ("over_budget", serve.over_budget.get().into()),
             ("callers", state.connections.get().into()),
             ("connections", serve.pool.opened().into()),
@@ -222,35 +223,35 @@
     }
 }
 
-/// Forgets suspicions that have lapsed.
-async fn sweep(state: Rc<State>) {
-    let mut timer = interval(Duration::from_millis(SWEEP.0));
+/// Removes expired suspicions periodically.
+async fn expire_suspicions(state: Rc<State>) {
+    let mut timer = interval(Duration::from_millis(SWEEP_INTERVAL.0));
     loop {
         timer.tick().await;
         state.sweep_suspicions();
     }
 }
 
-/// Asks the instance for its health until it was heard of: a node that
-/// begins beside a running instance need not wait for its next heartbeat.
-async fn ask(state: Rc<State>) {
-    let mut pause = ASK_AFTER;
+/// Checks the instance's health until it is known, so that a node that starts
+/// after its instance need not wait for the next heartbeat.
+async fn check_unknown_instance(state: Rc<State>) {
+    let mut pause = MIN_HEALTH_CHECK_PAUSE;
     loop {
         sleep(pause).await;
-        pause = (pause * 2).min(ASK_MAX);
+        pause = (pause * 2).min(MAX_HEALTH_CHECK_PAUSE);
         if !state.serve.is_unknown() {
-            pause = ASK_MAX;
+            pause = MAX_HEALTH_CHECK_PAUSE;
             continue;
         }
         if let Some(table) = state.table() {
             let service = table.service(&state.settings.service);
             let path = service.map(|spec| spec.health_path.clone());
-            health(&state, &path.unwrap_or("/health".into())).await;
+            check_health(&state, &path.unwrap_or("/health".into())).await;
         }
     }
 }
 
-async fn health(state: &Rc<State>, path: &str) {
+async fn check_health(state: &Rc<State>, path: &str) {
     let mut request = Request::new(Full::default());
     let Ok(uri) = path.parse() else {
         return;
@@ -263,25 +264,25 @@
     let clock = || state.now();
     let pool = &state.serve.pool;
     let answer = pool.send(clock, request, "", Effect::Idempotent).await;
-    let Outcome::Answer(_, status, headers, _) = answer else {
+    let Outcome::Response(_, status, headers, _) = answer else {
         return;
     };
     if let (Some(id), Some(load)) =
         (header::instance(&headers), header::load(&headers))
     {
         let ready = status.is_success();
-        state.serve.found(state, id, load.slots, ready);
+        state.serve.record_health_check(state, id, load.slots, ready);
     }
 }
 
-/// Ends: callers are sent elsewhere first, then what is under way is
-/// finished.
-async fn leave(state: &Rc<State>) {
-    let since = state.now();
+/// Shuts down: first reports that the node is not ready, then refuses new
+/// requests and finishes those in flight.
+async fn shut_down(state: &Rc<State>) {
+    let started_at = state.now();
     state.phase.set(Phase::Leaving);
     let fields = [("phase", "leaving".into())];
-    state.journal.change(since, Event::Stop, &fields);
-    let end = since + (state.settings.grace() - MARGIN);
+    state.journal.change(started_at, Event::Stop, &fields);
+    let deadline = started_at + (state.settings.grace() - SHUTDOWN_MARGIN);
     if state.serve.has_left() {
         let state = state.clone();
         spawn_local(async move { store::unregister(&state).await });
@@ -290,20 +291,20 @@
         sleep(Duration::from_millis(50)).await;
         let now = state.now();
         let leaving = state.phase.get() == Phase::Leaving;
-        if leaving && now.since(since) >= LEAVE_AFTER {
+        if leaving && now.since(started_at) >= DRAIN_DELAY {
             state.phase.set(Phase::Finishing);
-            state.serve.retire(state);
+            state.serve.drain(state);
         }
-        let (running, waiting) = state.serve.held();
-        let idle = state.under_way.get() + running + waiting == 0;
+        let (running, queued) = state.serve.job_counts();
+        let idle = state.in_flight.get() + running + queued == 0;
         let finishing = state.phase.get() == Phase::Finishing;
-        if (finishing && idle) || now >= end {
+        if (finishing && idle) || now >= deadline {
             break;
         }
     }
     let fields = [
         ("phase", "ended".into()),
-        ("under_way", state.under_way.get().into()),
+        ("under_way", state.in_flight.get().into()),
     ];
     state.journal.change(state.now(), Event::Stop, &fields);
     state.journal.close();
--- a/crates/walnutmoor/src/mesh/peer.rs
+++ b/crates/walnutmoor/src/mesh/peer.rs
@@ -36,7 +36,7 @@
     link::transmit,
     serve::Sink,
     state::State,
-    suspicion::PEER,
+    suspicion::SOURCE_PEER,
 };
 
 /// A link on which nothing comes for this long is closed. The other node pings
@@ -156,12 +156,12 @@
     }
     let (out, frames) = unbounded_channel();
     let _ = out.send(Frame::Hello(state.hello()));
-    if let Some(evidence) = state.known_evidence() {
+    if let Some(evidence) = state.evidence_frame() {
         let _ = out.send(evidence);
     }
     *session.out.borrow_mut() = Some(out);
-    state.learn(hello.node);
-    state.quotas.hear_of(hello.fleet);
+    state.add_node(hello.node);
+    state.quotas.record_reported_size(hello.fleet);
     state.hear_era(hello.era);
     let task =
         carry(state, session.clone(), (read, bytes), write, frames, hello);
@@ -244,7 +244,7 @@
         Frame::Call(call) => {
             let id = call.id;
             session.top.set(session.top.get().max(id.0));
-            let local = state.serve.number();
+            let local = state.serve.allocate_call_id();
             session.running.borrow_mut().insert(id, local);
             let sink = Sink::Remote(session.clone(), id);
             state.serve.submit(state, local, *call, sink);
@@ -270,12 +270,16 @@
             state.told(edition, hello.node);
         }
         Frame::Ask(account, ask) => {
-            let answer = state.allot(&account, ask);
+            let answer = state.handle_lease_request(&account, ask);
             session.send(Frame::Granted(account, answer));
         }
-        Frame::Departed(instance) => state.note_departed(hello.node, instance),
-        Frame::Evidence(told) => state.hear(&told, PEER),
-        Frame::Former(instances) => state.serve.note_former(state, instances),
+        Frame::Departed(instance) => {
+            state.record_departed(hello.node, instance)
+        }
+        Frame::Evidence(told) => state.merge_evidence(&told, SOURCE_PEER),
+        Frame::Former(instances) => {
+            state.serve.record_departed(state, instances)
+        }
         Frame::Era(era) => state.hear_era(era),
         Frame::Fetch => {
             if let Some(desired) = state.desired() {
--- a/crates/walnutmoor/src/mesh/quotas.rs
+++ b/crates/walnutmoor/src/mesh/quotas.rs
@@ -1,10 +1,10 @@
 /*!
-Asks for the quotas of client accounts, and deals those that fall to this
-node.
+Enforces the quotas of client accounts, as a client and as an allocator.
 
-[`walnutmoor_core::quota`] decides; here asks and answers travel over links,
-and requests wait for them. One that waits has not been let in, so whatever
-becomes of the allocator, its caller can be told that it did not run.
+[`walnutmoor_core::quota`] makes the decisions; this module sends requests for
+leases to allocators, and holds callers' requests until they are answered. A
+held request has not been admitted, so if the allocator fails, its caller can
+be reported_size that it did not run.
 */
 
 use std::{
@@ -31,45 +31,44 @@
 
 use super::{frame::Frame, link::Link, state::State};
 
-/// How long an allocator may take to answer: it is a round trip away and may
-/// be busy for some tens of milliseconds. A request that waits longer is
-/// decided here.
-const ANSWER_WITHIN: Duration = Duration::from_millis(150);
+/// The timeout for an allocator's response, after which a request is decided
+/// locally.
+const ALLOCATOR_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The pause after an answer from a node that is not the allocator. Views of
-/// the fleet agree again within a look at it.
-const ASK_AGAIN: Duration = Duration::from_millis(40);
+/// The backoff after a response from a node that is not the allocator. The
+/// nodes' views of the fleet converge in the meantime.
+const NOT_ALLOCATOR_BACKOFF: Duration = Duration::from_millis(40);
 
-/// The longest wait for room, as a part of the route's target. A caller that
-/// is told to come back loses more than that.
-const ROOM_PART: u64 = 8;
+/// The divisor of the route's target that gives the longest wait for quota.
+const MAX_WAIT_DIVISOR: u64 = 8;
 
-/// When a caller may come back that met a node which does not know the fleet
-/// yet; reading the directory takes some tens of milliseconds.
-const RETRY_STARTING: Millis = Millis(300);
+/// The retry delay sent by a node that does not know the size of the fleet
+/// yet.
+const STARTING_RETRY_AFTER: Millis = Millis(300);
 
-/// When a caller may come back that met a node without an allocator: another
-/// one is mostly found within this.
-const RETRY_ALONE: Millis = Millis(300);
+/// The retry delay sent by a node that reaches no allocator.
+const LOCAL_RETRY_AFTER: Millis = Millis(300);
 
-/// What an allocator's word means for one request.
+/// The decision on one request.
 #[derive(Clone, Copy, Debug)]
 enum Verdict {
-    Go,
+    Admit,
+    /// Over quota, with the time until there is some again.
     Refuse(Millis),
-    Alone,
+    /// To be decided without the allocator.
+    Local,
 }
 
-/// The nodes among which allocators are found.
+/// The nodes among which allocators are chosen.
 #[derive(Debug, Default)]
 struct Members {
-    /// Those that are reached, this one included, in order.
+    /// The reachable nodes including this one, sorted.
     nodes: Vec<NodeId>,
-    /// The allocators of accounts among them, as far as they were asked for.
-    places: Map<id::Account, NodeId>,
+    /// A cache of the allocators of accounts.
+    allocators: Map<id::Account, NodeId>,
 }
 
-/// The quotas of accounts, as one node asks for them and deals them.
+/// The leases that this node holds, and those that it grants as an allocator.
 #[derive(Debug)]
 pub(crate) struct Quotas {
     config: Config,
@@ -77,20 +76,20 @@
     leases: RefCell<Leases>,
     waiting: RefCell<Map<CallId, oneshot::Sender<Verdict>>>,
     members: RefCell<Members>,
-    /// Nodes that there are by the directory; 0 before it was read.
-    listed: Cell<usize>,
-    /// Nodes that there are, as others have told.
-    told: Cell<usize>,
+    /// The number of nodes in the directory; 0 before it was read.
+    directory_size: Cell<usize>,
+    /// The number of nodes reported by peers.
+    reported_size: Cell<usize>,
     fleet: Cell<Fleet>,
     last: Cell<u64>,
-    /// Requests that were decided on without an allocator.
-    alone: Cell<u64>,
-    /// Requests that were refused for their quota.
-    denied: Cell<u64>,
+    /// Requests that were decided without an allocator.
+    local_decisions: Cell<u64>,
+    /// Requests that were refused as over quota.
+    refusals: Cell<u64>,
 }
 
 impl Quotas {
-    /// Knows no other node and no account.
+    /// Creates the state of a node that knows no other node and no account.
     pub(super) fn new(config: Config) -> Quotas {
         Quotas {
             config,
@@ -98,81 +97,83 @@
             leases: RefCell::default(),
             waiting: RefCell::default(),
             members: RefCell::default(),
-            listed: Cell::new(0),
-            told: Cell::new(0),
+            directory_size: Cell::new(0),
+            reported_size: Cell::new(0),
             fleet: Cell::default(),
             last: Cell::new(0),
-            alone: Cell::new(0),
-            denied: Cell::new(0),
+            local_decisions: Cell::new(0),
+            refusals: Cell::new(0),
         }
     }
 
-    /// The directory lists so many nodes.
-    pub(super) fn count_fleet(&self, nodes: usize) {
-        self.listed.set(nodes);
-        self.told.set(0);
+    /// Records the number of nodes in the directory.
+    pub(super) fn set_directory_size(&self, nodes: usize) {
+        self.directory_size.set(nodes);
+        self.reported_size.set(0);
     }
 
-    /// Another node knows of so many.
-    pub(super) fn hear_of(&self, nodes: usize) {
-        self.told.set(self.told.get().max(nodes));
+    /// Records the number of nodes that a peer knows.
+    pub(super) fn record_reported_size(&self, nodes: usize) {
+        self.reported_size.set(self.reported_size.get().max(nodes));
     }
 
-    /// Nodes that there are; 0 if neither the directory nor anybody has told.
+    /// The number of nodes in the fleet; 0 if it is not known.
     pub(super) fn known(&self) -> usize {
-        self.listed.get().max(self.told.get())
+        self.directory_size.get().max(self.reported_size.get())
     }
 
-    /// Requests decided on without an allocator, and those that were
+    /// The numbers of requests decided without an allocator and of those
     /// refused, since the start.
-    pub(super) fn totals(&self) -> (u64, u64) {
-        (self.alone.get(), self.denied.get())
+    pub(super) fn decision_counts(&self) -> (u64, u64) {
+        (self.local_decisions.get(), self.refusals.get())
     }
 
-    /// Accounts that this node deals, and that it has asked for.
-    pub(crate) fn counts(&self) -> (usize, usize) {
+    /// The numbers of accounts for which this node grants and holds leases.
+    pub(crate) fn account_counts(&self) -> (usize, usize) {
         (self.allocator.borrow().len(), self.leases.borrow().len())
     }
 
-    fn place(&self, account: &id::Account) -> Option<NodeId> {
+    /// The node that allocates the account's quota.
+    fn find_allocator(&self, account: &id::Account) -> Option<NodeId> {
         let mut members = self.members.borrow_mut();
-        let Members { nodes, places } = &mut *members;
-        if let Some(node) = places.get(account) {
+        let Members { nodes, allocators } = &mut *members;
+        if let Some(node) = allocators.get(account) {
             return Some(*node);
         }
         let node = quota::allocator_for(account, nodes.iter().copied())?;
-        places.insert(account.clone(), node);
+        allocators.insert(account.clone(), node);
         Some(node)
     }
 
-    fn settle(
+    /// Passes the decisions to the requests that wait for them.
+    fn resolve(
         &self,
         now: Millis,
         account: &id::Account,
-        settled: &Resolution,
+        resolution: &Resolution,
     ) {
-        for id in &settled.admitted {
-            if !self.tell(*id, Verdict::Go) {
-                // Its caller has left, and nothing ran.
+        for id in &resolution.admitted {
+            if !self.deliver(*id, Verdict::Admit) {
+                // The caller has disconnected, and nothing ran.
                 self.leases.borrow_mut().finish(now, account, 0);
             }
         }
-        for (id, room) in &settled.refused {
-            self.tell(*id, Verdict::Refuse(*room));
+        for (id, wait) in &resolution.refused {
+            self.deliver(*id, Verdict::Refuse(*wait));
         }
-        for id in &settled.local {
-            self.tell(*id, Verdict::Alone);
+        for id in &resolution.local {
+            self.deliver(*id, Verdict::Local);
         }
     }
 
-    fn tell(&self, id: CallId, verdict: Verdict) -> bool {
+    fn deliver(&self, id: CallId, verdict: Verdict) -> bool {
         let sender = self.waiting.borrow_mut().remove(&id);
         sender.is_some_and(|sender| sender.send(verdict).is_ok())
     }
 }
 
-/// A request that was let in under its account's quota. What it did not use
-/// goes back when it ends.
+/// A request that was admitted under its account's quota. Unused quota is
+/// returned when it ends.
 #[derive(Debug)]
 pub(super) struct Permit {
     state: Rc<State>,
@@ -181,14 +182,15 @@
 }
 
 impl Permit {
-    /// The request has ended after so many runs.
+    /// Ends the request after this many runs.
     pub(super) fn end(mut self, runs: u32) {
         self.runs = Some(runs);
     }
 }
 
 impl Drop for Permit {
-    /// One that is dropped early, as its caller has left, may have run.
+    /// A request whose caller disconnects early may have run, and counts as
+    /// one run.
     fn drop(&mut self) {
         let runs = self.runs.unwrap_or(1);
         let mut leases = self.state.quotas.leases.borrow_mut();
@@ -197,8 +199,8 @@
 }
 
 impl State {
-    /// Lets a request in under its account's quota; `None` if there is none.
-    /// One that finds room soon waits for it, as its target allows.
+    /// Admits a request under its account's quota; `None` if the account has
+    /// none. Waits for quota if the route's target allows.
     pub(super) async fn acquire(
         self: &Rc<State>,
         account: Option<&Account>,
@@ -208,23 +210,23 @@
             return Ok(None);
         };
         let mut verdict = self.decide(account).await;
-        if let Verdict::Refuse(room) = verdict
-            && room.0 <= target.0 / ROOM_PART
+        if let Verdict::Refuse(wait) = verdict
+            && wait.0 <= target.0 / MAX_WAIT_DIVISOR
         {
-            sleep(Duration::from_millis(room.0)).await;
+            sleep(Duration::from_millis(wait.0)).await;
             verdict = self.decide(account).await;
         }
         let quotas = &self.quotas;
-        if matches!(verdict, Verdict::Alone) {
-            quotas.alone.set(quotas.alone.get() + 1);
-            verdict = self.decide_alone(account)?;
+        if matches!(verdict, Verdict::Local) {
+            quotas.local_decisions.set(quotas.local_decisions.get() + 1);
+            verdict = self.decide_locally(account)?;
         }
         match verdict {
-            Verdict::Refuse(room) => {
-                quotas.denied.set(quotas.denied.get() + 1);
-                Err(over_quota(room))
+            Verdict::Refuse(wait) => {
+                quotas.refusals.set(quotas.refusals.get() + 1);
+                Err(over_quota(wait))
             }
-            Verdict::Go | Verdict::Alone => Ok(Some(Permit {
+            Verdict::Admit | Verdict::Local => Ok(Some(Permit {
                 state: self.clone(),
                 account: account.name.clone(),
                 runs: None,
@@ -237,130 +239,139 @@
         let id = CallId(quotas.last.get() + 1);
         quotas.last.set(id.0);
         let name = &account.name;
-        let take = quotas.leases.borrow_mut().acquire(self.now(), name, id);
-        let ask = match take {
-            Decision::Admit => return Verdict::Go,
-            Decision::Refuse(room) => return Verdict::Refuse(room),
-            Decision::Local => return Verdict::Alone,
-            Decision::Wait(ask) => ask,
+        let decision =
+            quotas.leases.borrow_mut().acquire(self.now(), name, id);
+        let request = match decision {
+            Decision::Admit => return Verdict::Admit,
+            Decision::Refuse(wait) => return Verdict::Refuse(wait),
+            Decision::Local => return Verdict::Local,
+            Decision::Wait(request) => request,
         };
         let (sender, receiver) = oneshot::channel();
         quotas.waiting.borrow_mut().insert(id, sender);
-        if let Some(ask) = ask {
-            self.ask_allocator(name, ask);
+        if let Some(request) = request {
+            self.request_lease(name, request);
         }
-        match timeout(ANSWER_WITHIN, receiver).await {
+        match timeout(ALLOCATOR_TIMEOUT, receiver).await {
             Ok(Ok(verdict)) => verdict,
-            Ok(Err(_)) => Verdict::Alone,
+            Ok(Err(_)) => Verdict::Local,
             Err(_) => {
                 quotas.waiting.borrow_mut().remove(&id);
                 self.give_up_on_allocator(name);
-                Verdict::Alone
+                Verdict::Local
             }
         }
     }
 
-    /// Decides on a request without the allocator of its account.
-    fn decide_alone(&self, account: &Account) -> Result<Verdict, Refusal> {
+    /// Decides a request without the allocator of its account.
+    fn decide_locally(&self, account: &Account) -> Result<Verdict, Refusal> {
         let quotas = &self.quotas;
         let fleet = quotas.fleet.get();
         let Some(quota) = account.quota else {
-            return Ok(Verdict::Go);
+            return Ok(Verdict::Admit);
         };
         if fleet.known == 0 {
             let refusal = Refusal::new(Kind::Starting, Ran::No);
-            return Err(refusal.retry_after(RETRY_STARTING));
+            return Err(refusal.retry_after(STARTING_RETRY_AFTER));
         }
         let mut leases = quotas.leases.borrow_mut();
-        let goes = leases.admit_locally(
+        let admitted = leases.admit_locally(
             self.now(),
             &account.name,
             quotas.config,
             quota,
             fleet,
-            self.draw(),
+            self.random_fraction(),
         );
-        match goes {
-            true => Ok(Verdict::Go),
-            false => Ok(Verdict::Refuse(RETRY_ALONE)),
+        match admitted {
+            true => Ok(Verdict::Admit),
+            false => Ok(Verdict::Refuse(LOCAL_RETRY_AFTER)),
         }
     }
 
-    fn ask_allocator(self: &Rc<State>, account: &id::Account, ask: Request) {
-        match self.quotas.place(account) {
+    fn request_lease(
+        self: &Rc<State>,
+        account: &id::Account,
+        request: Request,
+    ) {
+        match self.quotas.find_allocator(account) {
             Some(node) if node == self.me => {
-                let answer = self.allot(account, ask);
-                self.granted(account, answer);
+                let response = self.handle_lease_request(account, request);
+                self.handle_lease_response(account, response);
             }
             Some(node) => match self.link(node).filter(|l| l.is_sound()) {
-                Some(link) => link.send(Frame::Ask(account.clone(), ask)),
+                Some(link) => link.send(Frame::Ask(account.clone(), request)),
                 None => self.give_up_on_allocator(account),
             },
             None => self.give_up_on_allocator(account),
         }
     }
 
+    /// Decides the requests that wait for the allocator without it.
     fn give_up_on_allocator(&self, account: &id::Account) {
         let quotas = &self.quotas;
         let mut leases = quotas.leases.borrow_mut();
         let now = self.now();
-        let settled = leases.give_up(now, account);
+        let resolution = leases.give_up(now, account);
         drop(leases);
-        quotas.settle(now, account, &settled);
+        quotas.resolve(now, account, &resolution);
     }
 
-    /// Deals an account's quota, if this node is its allocator.
-    pub(super) fn allot(
+    /// Handles a request for a lease, if this node is the account's allocator.
+    pub(super) fn handle_lease_request(
         &self,
         account: &id::Account,
-        ask: Request,
+        request: Request,
     ) -> Response {
         let table = self.table().unwrap_or_default();
         let quota = table.accounts.get(account).and_then(|a| a.quota);
-        let is_here = self.quotas.place(account) == Some(self.me);
-        match quota.filter(|_| is_here) {
+        let is_allocator =
+            self.quotas.find_allocator(account) == Some(self.me);
+        match quota.filter(|_| is_allocator) {
             Some(quota) => {
                 let mut allocator = self.quotas.allocator.borrow_mut();
                 let now = self.now();
-                Response::Granted(allocator.grant(now, account, quota, ask))
+                Response::Granted(
+                    allocator.grant(now, account, quota, request),
+                )
             }
             None => Response::NotAllocator,
         }
     }
 
-    /// The allocator of an account has answered.
-    pub(super) fn granted(
+    /// Handles the response of an account's allocator.
+    pub(super) fn handle_lease_response(
         self: &Rc<State>,
         account: &id::Account,
-        answer: Response,
+        response: Response,
     ) {
         let quotas = &self.quotas;
         let mut leases = quotas.leases.borrow_mut();
         let now = self.now();
-        let settled = leases.handle_response(now, account, answer);
+        let resolution = leases.handle_response(now, account, response);
         drop(leases);
-        quotas.settle(now, account, &settled);
-        if let Some(ask) = settled.request {
-            self.ask_allocator(account, ask);
+        quotas.resolve(now, account, &resolution);
+        if let Some(request) = resolution.request {
+            self.request_lease(account, request);
         }
-        if settled.not_allocator {
+        if resolution.not_allocator {
             let (state, account) = (self.clone(), account.clone());
             tokio::task::spawn_local(async move {
-                sleep(ASK_AGAIN).await;
+                sleep(NOT_ALLOCATOR_BACKOFF).await;
                 let now = state.now();
                 let mut leases = state.quotas.leases.borrow_mut();
-                let ask = leases.retry(now, &account);
+                let request = leases.retry(now, &account);
                 drop(leases);
-                if let Some(ask) = ask {
-                    state.ask_allocator(&account, ask);
+                if let Some(request) = request {
+                    state.request_lease(&account, request);
                 }
             });
         }
     }
 
-    /// Follows the nodes that are reached. `paused` tells that this process
-    /// has stood still.
-    pub(super) fn look_at_fleet(&self, paused: bool) {
+    /// Updates the view of the fleet from the links. `paused` is true if this
+    /// process was suspended since the last update.
+    pub(super) fn update_fleet(&self, paused: bool) {
         let now = self.now();
         let quotas = &self.quotas;
         let links = self.links();
@@ -368,9 +379,9 @@
             0 => 0,
             known => known.max(links.len() + 1),
         };
-        let sound = |link: Rc<Link>| link.is_sound().then_some(link.node);
+        let reachable = |link: Rc<Link>| link.is_sound().then_some(link.node);
         let mut nodes: Vec<NodeId> =
-            links.into_iter().filter_map(sound).collect();
+            links.into_iter().filter_map(reachable).collect();
         nodes.push(self.me);
         nodes.sort_unstable();
         let fleet = Fleet { reachable: nodes.len(), known };
@@ -384,14 +395,14 @@
         if members.nodes == nodes {
             return;
         }
-        *members = Members { nodes, places: Map::default() };
+        *members = Members { nodes, allocators: Map::default() };
         drop(members);
         let mut allocator = quotas.allocator.borrow_mut();
-        allocator.retain(|name| quotas.place(name) == Some(self.me));
+        allocator.retain(|name| quotas.find_allocator(name) == Some(self.me));
     }
 
-    /// Another desired state is in force.
-    pub(super) fn renew_quotas(&self, accounts: &Directory) {
+    /// Drops the accounts that a new desired state no longer has.
+    pub(super) fn reconfigure_quotas(&self, accounts: &Directory) {
         let quotas = &self.quotas;
         let keep = |name: &id::Account| accounts.get(name).is_some();
         quotas.leases.borrow_mut().reconfigure(keep);
@@ -399,6 +410,6 @@
     }
 }
 
-fn over_quota(room: Millis) -> Refusal {
-    Refusal::new(Kind::OverQuota, Ran::No).retry_after(room)
+fn over_quota(wait: Millis) -> Refusal {
+    Refusal::new(Kind::OverQuota, Ran::No).retry_after(wait)
 }
--- a/crates/walnutmoor/src/mesh/run.rs
+++ b/crates/walnutmoor/src/mesh/run.rs
@@ -1,6 +1,5 @@
 /*!
-One run: a call on its way to the instance beside this node, and what its
-answer is worth.
+Sends one call to the local instance, and classifies the response.
 */
 
 use std::rc::Rc;
@@ -19,42 +18,42 @@
 use super::{
     frame::{Call, Reply},
     instance::Outcome,
-    serve::{Parent, RETRY_MIN, Run},
+    serve::{MIN_RETRY_AFTER, Parent, Run},
     state::State,
     wire,
 };
 
-/// Brings a call to the instance and its reply to whoever waits.
+/// Runs a queued call on the instance, and sends the reply to its sink.
 pub async fn run(state: Rc<State>, id: CallId) {
     let serve = &state.serve;
-    let taken = {
+    let started = {
         let mut jobs = serve.jobs.borrow_mut();
         let job = jobs.get_mut(&id);
-        job.and_then(|job| Some((job.call.take()?, job.due())))
+        job.and_then(|job| Some((job.call.take()?, job.effective_deadline())))
     };
-    let Some((call, due)) = taken else {
+    let Some((call, deadline)) = started else {
         return;
     };
     let now = state.now();
-    if due <= now {
+    if deadline <= now {
         finish(&state, id, not_run(Kind::Deadline, false), false);
         return;
     }
     if call.repeat || call.echo {
-        serve.repeated.set(serve.repeated.get() + 1);
+        serve.retries.set(serve.retries.get() + 1);
     }
     if call.echo && !call.repeat {
-        serve.repeats.borrow_mut().record_nested(now);
+        serve.retry_budget.borrow_mut().record_nested(now);
     }
     let parent =
-        Parent { priority: call.priority, repeat: call.repeat || call.echo };
+        Parent { priority: call.priority, is_retry: call.repeat || call.echo };
     let run = Run { parent, footprint: Footprint::default() };
     serve.runs.borrow_mut().insert(call.attempt.clone(), run);
     serve.arrivals.set(serve.arrivals.get() + 1);
-    let instance = serve.instance();
+    let instance = serve.instance_id();
     let (attempt, effect) = (call.attempt.clone(), call.effect);
     let fingerprint = call.fingerprint;
-    let Some(request) = request(call, due.since(now), &instance) else {
+    let Some(request) = request(call, deadline.since(now), &instance) else {
         finish(&state, id, not_run(Kind::Malformed, false), false);
         return;
     };
@@ -63,38 +62,37 @@
     let mut crash = None;
     match outcome {
         Outcome::Broken(_) => {
-            crash = serve.find_crash(&state).await;
+            crash = serve.detect_crash(&state).await;
             if crash.is_none() {
-                serve.detector.note_cut(state.now(), fingerprint);
+                serve.detector.record_interrupted(state.now(), fingerprint);
             }
         }
-        // This one was not begun, and is told so at once; but what was cut
-        // off just before may be to blame.
+        // This call did not run, and its reply is not delayed. But a request
+        // that was interrupted just before may have crashed the instance.
         Outcome::Unreachable => {
             let state = state.clone();
             tokio::task::spawn_local(async move {
-                state.serve.find_crash(&state).await
+                state.serve.detect_crash(&state).await
             });
         }
-        Outcome::Answer(..) => {}
+        Outcome::Response(..) => {}
     }
-    let answered = matches!(outcome, Outcome::Answer(..));
-    let turned_away = matches!(outcome, Outcome::Answer(Verdict::NotRun, ..));
-    serve.repeats.borrow_mut().record_arrival(turned_away);
-    let mut footprint = serve.footprint(&attempt);
+    let answered = matches!(outcome, Outcome::Response(..));
+    let rejected = matches!(outcome, Outcome::Response(Verdict::NotRun, ..));
+    serve.retry_budget.borrow_mut().record_arrival(rejected);
+    let mut footprint = serve.take_footprint(&attempt);
     let service = &state.settings.service;
     let ended = state.now();
-    let told = serve.repeats.borrow().state(ended);
-    footprint.add_with_state(Key::of(service), ended.since(now), told);
-    let crash = crash.filter(|_| !state.is_sound(fingerprint));
+    let budget_state = serve.retry_budget.borrow().state(ended);
+    footprint.add_with_state(Key::of(service), ended.since(now), budget_state);
+    let crash = crash.filter(|_| !state.has_recent_success(fingerprint));
     let reply = match crash {
-        // Why the instance went away is not lost: whoever sends the request
-        // on can tell it from one that met a broken connection.
+        // Lets the sender tell a crash from a broken connection.
         Some(crash) => Reply::Crashed(crash),
         None => reply(&state, outcome, footprint),
     };
     if let Reply::Answered { status, .. } = &reply {
-        state.note_run(fingerprint, *status);
+        state.record_response(fingerprint, *status);
     }
     finish(&state, id, reply, answered);
 }
@@ -103,16 +101,16 @@
     let Some(job) = state.serve.take_job(state, id) else {
         return;
     };
-    // Room is made first, so that the load that travels with the answer is
-    // that of the next moment.
-    state.serve.end(state, id, &job.attempt, answered);
+    // The slot is freed first, so that the load sent with the reply is
+    // current.
+    state.serve.finish(state, id, &job.attempt, answered);
     if let Some(sink) = job.sink {
         sink.reply(state, reply);
     }
 }
 
 fn not_run(kind: Kind, reached: bool) -> Reply {
-    Reply::NotRun { kind, retry: RETRY_MIN, reached }
+    Reply::NotRun { kind, retry: MIN_RETRY_AFTER, reached }
 }
 
 fn request(
@@ -133,7 +131,7 @@
 
 fn reply(state: &Rc<State>, outcome: Outcome, footprint: Footprint) -> Reply {
     let (verdict, status, headers, body) = match outcome {
-        Outcome::Answer(verdict, status, headers, body) => {
+        Outcome::Response(verdict, status, headers, body) => {
             (verdict, status, headers, body)
         }
         Outcome::Unreachable => {
@@ -144,11 +142,11 @@
     };
     match verdict {
         Verdict::Genuine => answered(status, headers, body, footprint),
-        // No sign of overload: the instance is never given more than it has
-        // slots, so what it turns away it would turn away at any load.
+        // Not a sign of overload: the instance never gets more calls than it
+        // has slots, so it would reject this one at any load.
         Verdict::NotRun => not_run(Kind::Overloaded, true),
         Verdict::Misdirected => {
-            state.serve.replaced(state);
+            state.serve.handle_replacement(state);
             not_run(Kind::Unreachable, true)
         }
         Verdict::Foreign => Reply::Unknown(Kind::Broken),
--- a/crates/walnutmoor/src/mesh/serve.rs
+++ b/crates/walnutmoor/src/mesh/serve.rs
@@ -1,9 +1,10 @@
 /*!
-Work for the instance beside this node, from any node.
+Admission and execution of calls on the local instance, sent by any node.
 
-This is the only way to the instance, so what is bounded per instance is
-bounded here, with nothing to agree on: slots, the queue, repeats, the
-expected id, and that nothing new goes to an instance that leaves.
+Every call to the instance passes through this module, so the limits per
+instance are enforced here without coordination between nodes: slots, queue
+length, retry budget, the expected instance id, and that an instance that is
+leaving gets no new work.
 */
 
 use std::{
@@ -41,91 +42,90 @@
     state::State,
 };
 
-/// The part of the platform's ratio of repeats that one instance grants. Four
-/// services deep, the calls of runs repeated above add up to three times as
-/// much.
-const RATIO_PART: f64 = 0.25;
+/// The fraction of the platform's retry ratio that one instance grants. The
+/// rest allows for nested calls of retried requests, which multiply with the
+/// depth of the call graph.
+const RETRY_RATIO_FRACTION: f64 = 0.25;
 
-/// The part of the same ratio up to which an instance grants any, with the
-/// calls of repeated runs that reach it.
-const TOTAL_PART: f64 = 0.6;
+/// The fraction of the retry ratio above which an instance grants no retry,
+/// counting nested calls of retried requests.
+const TOTAL_RATIO_FRACTION: f64 = 0.6;
 
-/// The same two for an instance whose runs make no calls: no tree follows
-/// from a repeat there, so only the unevenness of the calls that arrive from
-/// repeats above must be allowed for. What is left of the ratio is for
-/// repeats that a restarted node has forgotten and for load that moves
+/// The same as [`RETRY_RATIO_FRACTION`] for an instance that makes no calls,
+/// where a retry causes no nested calls. The rest of the ratio allows for
+/// retries that a restarted node has forgotten and for load that moves
 /// between instances.
-const LEAF_PART: f64 = 0.85;
+const LEAF_RATIO_FRACTION: f64 = 0.85;
 
-/// The same with the calls of repeated runs; see [`LEAF_PART`].
-const LEAF_TOTAL_PART: f64 = 0.93;
+/// The same as [`TOTAL_RATIO_FRACTION`] for an instance that makes no calls.
+const LEAF_TOTAL_FRACTION: f64 = 0.93;
 
-/// The part of the first requests of the window before that counts. The
-/// platform counts them all; work that moves between instances is counted
-/// twice here for that long.
-const EARLIER_PART: f64 = 0.9;
+/// The fraction of the previous window's requests that still counts. It is
+/// below 1 because work that moves between instances is counted by both.
+const CARRY_OVER_FRACTION: f64 = 0.9;
 
-/// The part of the platform's slack that all instances of a service allow
-/// together; the rest covers restarts.
-const SLACK_PART: f64 = 0.24;
+/// The fraction of the platform's retry slack that all instances of a service
+/// grant together; the rest covers restarts.
+const SLACK_FRACTION: f64 = 0.24;
 
-/// Instances among which the slack is divided at the least.
-const SLACK_SHARERS: usize = 3;
+/// The minimum number of instances among which the slack is divided.
+const MIN_SLACK_INSTANCES: usize = 3;
 
-/// The shortest span after which a caller is told to come back.
-pub const RETRY_MIN: Millis = Millis(100);
+/// The minimum retry delay that is sent to a caller.
+pub const MIN_RETRY_AFTER: Millis = Millis(100);
 
-/// Who waits for a call.
+/// Where the reply of a call is sent.
 #[derive(Debug)]
 pub enum Sink {
-    /// A request that came in at this node.
+    /// A request that was received by this node.
     Local(oneshot::Sender<Reply>),
-    /// Another node, which numbers it so.
+    /// Another node, with its id of the call.
     Remote(Rc<Session>, CallId),
 }
 
 impl Sink {
     pub(super) fn reply(self, state: &State, reply: Reply) {
         match self {
-            // The caller may have left at the same moment.
+            // The receiver is gone if the caller has disconnected.
             Sink::Local(sender) => drop(sender.send(reply)),
             Sink::Remote(session, id) => session.reply(state, id, reply),
         }
     }
 }
 
-/// What a request that the instance runs hands down to the calls that it
-/// makes.
+/// What nested calls inherit from the request that makes them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Parent {
-    /// The rank of the whole request.
+    /// The priority of the root request.
     pub priority: u8,
-    /// True if this run is a repeat, or that of a call of one.
-    pub repeat: bool,
+    /// True if the request is a retry or a nested call of one.
+    pub is_retry: bool,
 }
 
-/// How a call ended that a run made.
-pub(super) enum Called<'a> {
-    /// It was answered; this is what it took.
+/// The outcome of a nested call.
+pub(super) enum CallOutcome<'a> {
+    /// It was answered, with this footprint.
     Answered(&'a Footprint),
-    /// It was not run.
-    TurnedAway,
-    /// It has ended the instances that ran it.
-    Fatal,
+    /// It did not run.
+    Rejected,
+    /// It crashed the instances that ran it.
+    Crashed,
 }
 
-/// A request that the instance runs.
+/// A request that the instance is running.
 #[derive(Debug)]
 pub(super) struct Run {
     pub(super) parent: Parent,
-    /// What the calls that it has made took, so far.
+    /// The merged footprint of its nested calls so far.
     pub(super) footprint: Footprint,
 }
 
+/// A call that is queued or running.
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) attempt: String,
     pub(super) fingerprint: Fingerprint,
+    /// The call, until it starts.
     pub(super) call: Option<Call>,
     effect: Effect,
     deadline: Millis,
@@ -148,7 +148,7 @@
         }
     }
 
-    /// What the bulkhead is asked, if it has not begun.
+    /// The bulkhead's view of the job; `None` once it has started.
     fn work(&self, id: CallId) -> Option<Work> {
         let call = self.call.as_ref()?;
         Some(Work {
@@ -160,126 +160,134 @@
         })
     }
 
-    /// When the instance is to stop: the caller has then left, or has been
-    /// given its final answer.
-    pub(super) fn due(&self) -> Millis {
+    /// When the run is no longer useful: the earlier of the attempt's and the
+    /// caller's deadline.
+    pub(super) fn effective_deadline(&self) -> Millis {
         self.deadline.min(self.caller_deadline)
     }
 }
 
-/// The work of one instance.
+/// Admits and runs calls on the local instance.
 #[derive(Debug)]
 pub struct Serve {
     pub(super) bulkhead: RefCell<Bulkhead>,
-    pub(super) repeats: RefCell<RetryBudget>,
-    /// What all instances of the service may repeat besides.
+    pub(super) retry_budget: RefCell<RetryBudget>,
+    /// The retry slack of all instances of the service together.
     slack: Option<f64>,
     pub(super) jobs: RefCell<Map<CallId, Job>>,
-    /// Requests that the instance runs, by the callers' ids.
+    /// Requests that the instance is running, by attempt id.
     pub(super) runs: RefCell<Map<String, Run>>,
-    /// Suspects among the jobs.
+    /// Jobs whose requests are suspected of crashing instances.
     isolation: RefCell<Isolation>,
-    /// Tells when the instance has crashed.
+    /// Detects crashes of the instance.
     pub(super) detector: Detector,
-    /// What is believed of the instance.
-    pub(super) belief: RefCell<Tracker>,
+    /// The current lifetime of the instance.
+    pub(super) tracker: RefCell<Tracker>,
+    /// True while the instance refuses connections.
     pub(super) suspended: Cell<bool>,
-    pub(super) retired: Cell<bool>,
-    last: Cell<u64>,
-    waiting: Notify,
+    /// True once this node is shutting down.
+    pub(super) draining: Cell<bool>,
+    last_call: Cell<u64>,
+    /// Notified when a job is queued.
+    queued: Notify,
     /// Connections to the instance.
     pub pool: Pool,
-    /// Requests that reached the instance.
+    /// Requests that were sent to the instance.
     pub arrivals: Cell<u64>,
-    /// Repeats among them.
-    pub repeated: Cell<u64>,
-    /// Repeats that were turned away, as the allowance was spent.
+    /// Retries among them, with nested calls of retried requests.
+    pub retries: Cell<u64>,
+    /// Retries that were rejected because the retry budget was exhausted.
     pub over_budget: Cell<u64>,
 }
 
 impl Serve {
-    /// No instance is known yet.
+    /// Creates the serving side of a node whose instance is not yet known.
     pub fn new(settings: &Settings) -> Serve {
         let bounds = settings.bounds();
         let mut config = retry_budget::Config::new();
         if let Some(ratio) = bounds.repeat_ratio {
-            config = config.ratio(ratio * RATIO_PART);
-            config = config.total(ratio * TOTAL_PART);
-            let total = ratio * LEAF_TOTAL_PART;
-            config = config.leaf(ratio * LEAF_PART, total);
-            config = config.carry_over(EARLIER_PART);
+            config = config.ratio(ratio * RETRY_RATIO_FRACTION);
+            config = config.total(ratio * TOTAL_RATIO_FRACTION);
+            let total = ratio * LEAF_TOTAL_FRACTION;
+            config = config.leaf(ratio * LEAF_RATIO_FRACTION, total);
+            config = config.carry_over(CARRY_OVER_FRACTION);
         }
-        let slack = bounds.repeat_slack.map(|slack| slack * SLACK_PART);
+        let slack = bounds.repeat_slack.map(|slack| slack * SLACK_FRACTION);
         if let Some(slack) = slack {
-            config = config.slack(slack / SLACK_SHARERS as f64);
+            config = config.slack(slack / MIN_SLACK_INSTANCES as f64);
         }
         if let Some(window) = bounds.repeat_window {
             config = config.window(window);
         }
         Serve {
             bulkhead: RefCell::new(Bulkhead::new()),
-            repeats: RefCell::new(RetryBudget::new(config)),
+            retry_budget: RefCell::new(RetryBudget::new(config)),
             slack,
             jobs: RefCell::new(Map::default()),
             runs: RefCell::new(Map::default()),
             isolation: RefCell::new(Isolation::new()),
             detector: Detector::default(),
-            belief: RefCell::new(Tracker::new()),
+            tracker: RefCell::new(Tracker::new()),
             suspended: Cell::new(false),
-            retired: Cell::new(false),
-            last: Cell::new(0),
-            waiting: Notify::new(),
+            draining: Cell::new(false),
+            last_call: Cell::new(0),
+            queued: Notify::new(),
             pool: Pool::new(settings.server),
             arrivals: Cell::new(0),
-            repeated: Cell::new(0),
+            retries: Cell::new(0),
             over_budget: Cell::new(0),
         }
     }
 
-    /// The number of a new call.
-    pub fn number(&self) -> CallId {
-        let id = self.last.get() + 1;
-        self.last.set(id);
+    /// Allocates the id of a new call.
+    pub fn allocate_call_id(&self) -> CallId {
+        let id = self.last_call.get() + 1;
+        self.last_call.set(id);
         CallId(id)
     }
 
-    /// What other nodes are told.
+    /// The load of the instance, as reported to other nodes.
     pub fn load(&self, now: Millis) -> Load {
         self.bulkhead.borrow().load(now)
     }
 
-    /// Work under way, running and waiting.
-    pub fn held(&self) -> (usize, usize) {
+    /// The numbers of running and of queued calls.
+    pub fn job_counts(&self) -> (usize, usize) {
         let bulkhead = self.bulkhead.borrow();
         (bulkhead.running(), bulkhead.waiting())
     }
 
-    /// True if the instance has not been heard of at all.
+    /// True if no heartbeat or health check of an instance was received yet.
     pub fn is_unknown(&self) -> bool {
-        self.belief.borrow().current().is_none()
+        self.tracker.borrow().current().is_none()
     }
 
-    /// True if the instance was heard of and is leaving or gone.
+    /// True if the instance is known and is leaving or gone.
     pub fn has_left(&self) -> bool {
-        !self.is_unknown() && !self.belief.borrow().is_ready()
+        !self.is_unknown() && !self.tracker.borrow().is_ready()
     }
 
-    /// True if a request that the instance runs has made this one.
-    pub fn is_made_here(&self, attempt: &str) -> bool {
+    /// True if the attempt is a nested call of a running request.
+    pub fn is_nested_call(&self, attempt: &str) -> bool {
         let parent = header::parent(attempt);
         parent.is_some_and(|id| self.runs.borrow().contains_key(id))
     }
 
-    /// The request that made this one, if the instance runs it.
+    /// What a nested call inherits, if its parent is running. Records the call
+    /// in the retry budget.
     pub fn parent(&self, now: Millis, attempt: &str) -> Option<Parent> {
         let parent = header::parent(attempt)?;
         let parent = self.runs.borrow().get(parent)?.parent;
-        self.repeats.borrow_mut().record_call(now);
+        self.retry_budget.borrow_mut().record_call(now);
         Some(parent)
     }
 
-    /// A call has ended that a run of the instance made, if it still runs.
-    pub(super) fn called(&self, attempt: &str, ended: Called<'_>) {
+    /// Records the outcome of a nested call, if its parent is still running.
+    pub(super) fn record_call_outcome(
+        &self,
+        attempt: &str,
+        outcome: CallOutcome<'_>,
+    ) {
         let Some(parent) = header::parent(attempt) else {
             return;
         };
@@ -287,32 +295,32 @@
         let Some(run) = runs.get_mut(parent) else {
             return;
         };
-        match ended {
-            Called::Answered(footprint) => run.footprint.merge(footprint),
-            // A sibling would make the same call, and lose more instances.
-            Called::TurnedAway | Called::Fatal => {
+        match outcome {
+            CallOutcome::Answered(footprint) => run.footprint.merge(footprint),
+            // A retry of the parent on a sibling would make the same call
+            // again, and could crash more instances.
+            CallOutcome::Rejected | CallOutcome::Crashed => {
                 run.footprint.mark_refused_call()
             }
         }
     }
 
-    /// What the calls of a run took.
-    pub(super) fn footprint(&self, attempt: &str) -> Footprint {
+    /// Takes the merged footprint of a run's nested calls.
+    pub(super) fn take_footprint(&self, attempt: &str) -> Footprint {
         let mut runs = self.runs.borrow_mut();
         let run = runs.get_mut(attempt);
         run.map(|run| std::mem::take(&mut run.footprint)).unwrap_or_default()
     }
 
-    /// Divides the slack of repeats among the instances of the service.
+    /// Divides the retry slack among the instances of the service.
     pub fn share_slack(&self, instances: usize) {
         if let Some(slack) = self.slack {
-            let sharers = instances.max(SLACK_SHARERS);
-            self.repeats.borrow_mut().set_slack(slack / sharers as f64);
+            let instances = instances.max(MIN_SLACK_INSTANCES);
+            self.retry_budget.borrow_mut().set_slack(slack / instances as f64);
         }
     }
 
-    /// Takes a call: hands it to the instance, lets it wait or turns it
-    /// away.
+    /// Runs a call, queues it or rejects it.
     pub fn submit(
         &self,
         state: &Rc<State>,
@@ -322,28 +330,28 @@
     ) {
         let now = state.now();
         if call.service != state.settings.service {
-            return turn_away(state, sink, Kind::UnknownService, Millis(0));
+            return reject(state, sink, Kind::UnknownService, Millis(0));
         }
         if let Some(evidence) = &call.evidence {
-            state.hear(std::slice::from_ref(evidence), "call");
+            state.merge_evidence(std::slice::from_ref(evidence), "call");
         }
         let standing = state.standing(call.fingerprint);
         if let Standing::Barred(left) = standing {
-            return turn_away(state, sink, Kind::Poisoned, left);
+            return reject(state, sink, Kind::Poisoned, left);
         }
-        if !self.count(now, &call) {
+        if !self.try_record(now, &call) {
             self.over_budget.set(self.over_budget.get() + 1);
-            return turn_away(state, sink, Kind::Budget, Millis(1_000));
+            return reject(state, sink, Kind::Budget, Millis(1_000));
         }
         let job = Job::new(now, call, sink);
         self.jobs.borrow_mut().insert(id, job);
         if let Standing::Suspect(crashes) = standing {
-            let turn = self.isolation.borrow_mut().admit(id, crashes);
-            match turn {
+            let admission = self.isolation.borrow_mut().admit(id, crashes);
+            match admission {
                 Admission::Admitted => {}
                 Admission::Queued => return,
                 Admission::Rejected => {
-                    return self.drop_job(
+                    return self.reject_job(
                         state,
                         id,
                         Kind::Queued,
@@ -366,18 +374,18 @@
         };
         let offer = self.bulkhead.borrow_mut().offer(state.now(), work);
         match offer {
-            Offer::Run => self.run(state, id),
-            Offer::Wait => self.waiting.notify_one(),
+            Offer::Run => self.start(state, id),
+            Offer::Wait => self.queued.notify_one(),
             Offer::Full { retry_after } => {
-                self.drop_job(state, id, Kind::Queued, retry_after);
+                self.reject_job(state, id, Kind::Queued, retry_after);
             }
             Offer::Closed => {
-                self.drop_job(state, id, Kind::Leaving, Millis(0));
+                self.reject_job(state, id, Kind::Leaving, Millis(0));
             }
         }
     }
 
-    /// Takes a job out, and gives the next suspect its turn if it was one.
+    /// Removes a job, and admits the next suspect if it was one.
     pub(super) fn take_job(
         &self,
         state: &Rc<State>,
@@ -385,11 +393,11 @@
     ) -> Option<Job> {
         let job = self.jobs.borrow_mut().remove(&id)?;
         self.isolation.borrow_mut().release(id);
-        self.advance_suspects(state);
+        self.admit_suspects(state);
         Some(job)
     }
 
-    fn advance_suspects(&self, state: &Rc<State>) {
+    fn admit_suspects(&self, state: &Rc<State>) {
         loop {
             let next = self.isolation.borrow_mut().admit_next();
             match next {
@@ -399,32 +407,32 @@
         }
     }
 
-    /// Counts a call on its first way to an instance of the service, or as a
-    /// repeat. False if it is one too many.
-    fn count(&self, now: Millis, call: &Call) -> bool {
-        let mut repeats = self.repeats.borrow_mut();
+    /// Records a first attempt in the retry budget, or withdraws a retry from
+    /// it. False if the budget is exhausted.
+    fn try_record(&self, now: Millis, call: &Call) -> bool {
+        let mut budget = self.retry_budget.borrow_mut();
         if call.repeat {
             let sample_key = SampleKey::of(header::root(&call.attempt));
             let priority = Priority { rank: call.priority, sample_key };
-            return repeats.try_retry_for(now, priority);
+            return budget.try_retry_for(now, priority);
         }
         if !call.moved && !call.echo {
-            repeats.record_request(now);
+            budget.record_request(now);
         }
         true
     }
 
-    /// Nobody waits for a call any more. What may not run again runs to
-    /// its end once it has begun.
+    /// Cancels a call that nobody waits for any more. A call that may run only
+    /// once is not interrupted after it has started.
     pub fn cancel(&self, state: &Rc<State>, id: CallId) {
-        let waited = self.bulkhead.borrow_mut().cancel(id);
+        let was_queued = self.bulkhead.borrow_mut().cancel(id);
         let mut jobs = self.jobs.borrow_mut();
         let Some(job) = jobs.get_mut(&id) else {
             return;
         };
         job.sink = None;
-        let begun = job.call.is_none();
-        if !waited && begun && job.effect == Effect::Once {
+        let started = job.call.is_none();
+        if !was_queued && started && job.effect == Effect::Once {
             return;
         }
         drop(jobs);
@@ -432,23 +440,22 @@
             && let Some(task) = job.task
         {
             task.abort();
-            self.detector.note_cut(state.now(), job.fingerprint);
-            self.end(state, id, &job.attempt, false);
+            self.detector.record_interrupted(state.now(), job.fingerprint);
+            self.finish(state, id, &job.attempt, false);
         }
     }
 
-    /// Starts and turns away waiting work as long as there is something to
-    /// do.
+    /// Starts or rejects queued work until the bulkhead has no more to decide.
     pub fn advance(&self, state: &Rc<State>) {
         loop {
             let next = self.bulkhead.borrow_mut().next(state.now());
             match next {
-                Some(Next::Run(id)) => self.run(state, id),
-                Some(Next::Full(id, retry)) => {
-                    self.drop_job(state, id, Kind::Queued, retry);
+                Some(Next::Run(id)) => self.start(state, id),
+                Some(Next::Full(id, retry_after)) => {
+                    self.reject_job(state, id, Kind::Queued, retry_after);
                 }
                 Some(Next::Closed(id)) => {
-                    self.drop_job(state, id, Kind::Leaving, Millis(0));
+                    self.reject_job(state, id, Kind::Leaving, Millis(0));
                 }
                 None => break,
             }
@@ -456,38 +463,40 @@
         if !self.bulkhead.borrow().is_open() {
             let suspects = self.isolation.borrow_mut().drain();
             for id in suspects {
-                self.drop_job(state, id, Kind::Leaving, Millis(0));
+                self.reject_job(state, id, Kind::Leaving, Millis(0));
             }
         }
     }
 
-    /// Looks after waiting work whose time passes; runs for ever.
-    pub async fn watch(&self, state: &Rc<State>) {
-        /// How late work that has waited too long may be turned away.
-        const STEP: std::time::Duration = std::time::Duration::from_millis(10);
+    /// Rejects queued work whose wait has expired. Never returns.
+    pub async fn expire_queued(&self, state: &Rc<State>) {
+        /// The pause between checks of the queue.
+        const INTERVAL: std::time::Duration =
+            std::time::Duration::from_millis(10);
         loop {
             if self.bulkhead.borrow().waiting() == 0 {
-                self.waiting.notified().await;
+                self.queued.notified().await;
             }
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(INTERVAL).await;
             self.advance(state);
         }
     }
 
-    fn drop_job(
+    /// Removes a job and rejects its call.
+    fn reject_job(
         &self,
         state: &Rc<State>,
         id: CallId,
         kind: Kind,
-        retry: Millis,
+        retry_after: Millis,
     ) {
         let job = self.take_job(state, id);
         if let Some(sink) = job.and_then(|job| job.sink) {
-            turn_away(state, sink, kind, retry);
+            reject(state, sink, kind, retry_after);
         }
     }
 
-    fn run(&self, state: &Rc<State>, id: CallId) {
+    fn start(&self, state: &Rc<State>, id: CallId) {
         let task = run::run(state.clone(), id);
         let task = tokio::task::spawn_local(task);
         if let Some(job) = self.jobs.borrow_mut().get_mut(&id) {
@@ -495,8 +504,8 @@
         }
     }
 
-    /// Work has left the instance.
-    pub(super) fn end(
+    /// Frees the slot of a run that has ended, and starts the next.
+    pub(super) fn finish(
         &self,
         state: &Rc<State>,
         id: CallId,
@@ -510,7 +519,7 @@
     }
 }
 
-fn turn_away(state: &State, sink: Sink, kind: Kind, retry: Millis) {
-    let retry = Millis(retry.0.max(RETRY_MIN.0));
+fn reject(state: &State, sink: Sink, kind: Kind, retry_after: Millis) {
+    let retry = Millis(retry_after.0.max(MIN_RETRY_AFTER.0));
     sink.reply(state, Reply::NotRun { kind, retry, reached: false });
 }
--- a/crates/walnutmoor/src/mesh/state.rs
+++ b/crates/walnutmoor/src/mesh/state.rs
@@ -1,5 +1,6 @@
 /*!
-What the tasks of a node share. One thread runs them all, so plain cells do.
+The state shared by the tasks of a node. All tasks run on one thread, so the
+state is kept in `Cell` and `RefCell`.
 */
 
 use std::{
@@ -34,102 +35,102 @@
     suspicion::Suspicion,
 };
 
-/// How far a node goes on its way to its end.
+/// The phase of a node's shutdown.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Phase {
-    /// It takes callers.
+    /// The node is in service.
     Serving,
-    /// It was told to end; callers that still come are served.
+    /// The node was told to exit and reports that it is not ready; new
+    /// requests are still served.
     Leaving,
-    /// It finishes what it has.
+    /// New requests are refused; those in flight are finished.
     Finishing,
 }
 
-/// The state of a node.
+/// The shared state of a node.
 #[derive(Debug)]
 pub struct State {
     /// The settings.
     pub settings: Settings,
-    /// This node, as others call it.
+    /// The id of this node.
     pub me: NodeId,
-    /// This life of it.
-    pub life: Incarnation,
+    /// The incarnation of this node, new at each start.
+    pub incarnation: Incarnation,
     /// The log.
     pub journal: Journal,
-    /// What is known of instances.
-    pub balance: RefCell<Balancer>,
-    /// Admission at the way in.
+    /// The load balancer over all known instances.
+    pub balancer: RefCell<Balancer>,
+    /// Admission control at the entry node.
     pub throttle: RefCell<Throttle>,
-    /// Deals out splits.
+    /// Selects the services of routes that split their traffic.
     pub splitter: RefCell<Splitter>,
-    /// Work for the instance beside this node.
+    /// Admission and execution on the local instance.
     pub serve: Serve,
-    /// What is believed of requests under which instances have ended.
+    /// Evidence against requests that crash instances.
     pub(super) suspicion: Suspicion,
-    /// How far this node is on its way to its end.
+    /// The phase of the shutdown.
     pub phase: Cell<Phase>,
-    /// Callers' requests under way.
-    pub under_way: Cell<usize>,
-    /// Callers' connections that are open.
+    /// The number of callers' requests in flight.
+    pub in_flight: Cell<usize>,
+    /// The number of open connections of callers.
     pub connections: Cell<usize>,
-    /// Bytes of bodies held for callers.
-    pub held: Cell<usize>,
-    /// Bytes that were read from callers and not decoded.
-    pub ahead: Cell<usize>,
+    /// Bytes of request and response bodies that are buffered for callers.
+    pub buffered_bytes: Cell<usize>,
+    /// Bytes that were read from callers but not decoded yet.
+    pub undecoded_bytes: Cell<usize>,
     links: RefCell<Map<NodeId, Rc<Link>>>,
-    /// Other nodes that have linked to this one.
+    /// Sessions of other nodes that have linked to this one.
     pub sessions: RefCell<Map<Incarnation, Rc<Session>>>,
-    /// Whether the directory of nodes was read.
+    /// True once the directory of nodes was read.
     pub(super) has_directory: Cell<bool>,
     /// The desired state.
     pub(super) desired: Desired,
     /// The era of the store.
     pub(super) eras: Eras,
-    /// Quotas of client accounts.
+    /// The quotas of client accounts.
     pub(crate) quotas: Quotas,
-    /// Instances that have left, by the node that told so.
+    /// Departed instances, by the node that announced them.
     departed: RefCell<Map<NodeId, VecDeque<Lifetime>>>,
-    /// The longest time that a caller of each route ever had.
-    longest: RefCell<Map<String, Millis>>,
+    /// The longest timeout that a caller of each route has sent.
+    longest_timeouts: RefCell<Map<String, Millis>>,
     rng: RefCell<SmallRng>,
-    begun: Instant,
+    started_at: Instant,
 }
 
-/// Nodes that are named on a new link. Whoever is missed is found in the
-/// store's directory, or named by the next one: with all of them named, what
-/// links carry at a start grows with the square of the fleet.
-const KNOWN_MAX: usize = 8;
+/// The maximum number of known nodes in a hello. Naming all of them would make
+/// the traffic of a starting fleet grow with the square of its size; the rest
+/// are found in the store's directory or in other hellos.
+const MAX_HELLO_NODES: usize = 8;
 
-/// Instances that have left, kept for each node. One that has left is gone
-/// within a minute, and its node seldom sees a second go before.
-const DEPARTED_MAX: usize = 4;
+/// The maximum number of departed instances that are kept for each node.
+const MAX_DEPARTED_INSTANCES: usize = 4;
 
-/// A caller with less than this part of the longest time, in hundredths,
-/// has spent some of it on an earlier try.
-const RETURNS_UNDER: u64 = 98;
+/// A request with less than this percentage of its route's longest timeout
+/// left counts as a retry.
+const RETRY_TIMEOUT_PERCENT: u64 = 98;
 
 impl State {
-    /// The state of a node that begins.
+    /// Creates the state of a node that starts.
     pub fn new(settings: Settings, journal: Journal) -> Rc<State> {
         let mut rng: SmallRng = rand::make_rng();
-        let life = Incarnation(rng.random());
+        let incarnation = Incarnation(rng.random());
         let me = NodeId(settings.address());
-        let balance = Balancer::new(settings.zone.clone());
+        let balancer = Balancer::new(settings.zone.clone());
         let serve = Serve::new(&settings);
         Rc::new(State {
             me,
-            life,
+            incarnation,
             journal,
-            balance: RefCell::new(balance),
+            balancer: RefCell::new(balancer),
             throttle: RefCell::new(Throttle::new()),
-            splitter: RefCell::new(Splitter::seeded(life.0)),
+            splitter: RefCell::new(Splitter::seeded(incarnation.0)),
             serve,
             suspicion: Suspicion::default(),
             phase: Cell::new(Phase::Serving),
-            under_way: Cell::new(0),
+            in_flight: Cell::new(0),
             connections: Cell::new(0),
-            held: Cell::new(0),
-            ahead: Cell::new(0),
+            buffered_bytes: Cell::new(0),
+            undecoded_bytes: Cell::new(0),
             links: RefCell::new(Map::default()),
             sessions: RefCell::new(Map::default()),
             has_directory: Cell::new(false),
@@ -137,45 +138,44 @@
             eras: Eras::default(),
             quotas: Quotas::new(settings.bounds().quota()),
             departed: RefCell::new(Map::default()),
-            longest: RefCell::new(Map::default()),
+            longest_timeouts: RefCell::new(Map::default()),
             rng: RefCell::new(rng),
-            begun: Instant::now(),
+            started_at: Instant::now(),
             settings,
         })
     }
 
-    /// The time since the node began, on the steady clock.
+    /// The time since the node started, on the monotonic clock.
     pub fn now(&self) -> Millis {
-        Millis(self.begun.elapsed().as_millis() as u64)
+        Millis(self.started_at.elapsed().as_millis() as u64)
     }
 
-    /// A span between half of this one and one and a half.
-    pub fn spread(&self, span: Millis) -> Millis {
-        let part: f64 = self.rng.borrow_mut().random_range(0.5..1.5);
-        Millis((span.0 as f64 * part) as u64)
+    /// Adds jitter: a random duration between 0.5 and 1.5 times this one.
+    pub fn jitter(&self, duration: Millis) -> Millis {
+        let factor: f64 = self.rng.borrow_mut().random_range(0.5..1.5);
+        Millis((duration.0 as f64 * factor) as u64)
     }
 
-    /// A number in 0 to 1.
-    pub fn draw(&self) -> f64 {
+    /// A random number in the range `0.0..1.0`.
+    pub fn random_fraction(&self) -> f64 {
         self.rng.borrow_mut().random()
     }
 
-    /// True if a caller with this much time left has been here before: those
-    /// that come for the first time have the most that was ever seen on the
-    /// route.
-    pub fn returns(&self, route: &str, left: Millis) -> bool {
-        let mut longest = self.longest.borrow_mut();
-        let Some(most) = longest.get_mut(route) else {
-            longest.insert(route.to_string(), left);
+    /// True if a request with this much time left is probably a retry: first
+    /// attempts have the longest timeout that was seen on the route.
+    pub fn is_likely_retry(&self, route: &str, left: Millis) -> bool {
+        let mut longest_timeouts = self.longest_timeouts.borrow_mut();
+        let Some(max) = longest_timeouts.get_mut(route) else {
+            longest_timeouts.insert(route.to_string(), left);
             return false;
         };
-        *most = left.max(*most);
-        left.0 * 100 < most.0 * RETURNS_UNDER
+        *max = left.max(*max);
+        left.0 * 100 < max.0 * RETRY_TIMEOUT_PERCENT
     }
 
-    /// A node has told the load of its instance.
-    pub fn report(&self, node: NodeId, load: Load) {
-        if !self.balance.borrow_mut().report(node, load) {
+    /// Records the load of a node's instance.
+    pub fn record_load(&self, node: NodeId, load: Load) {
+        if !self.balancer.borrow_mut().report(node, load) {
             return;
         }
         let fields = [
@@ -185,74 +185,73 @@
         self.journal.change(self.now(), Event::Instance, &fields);
     }
 
-    /// Tells every node that has linked what has become of the own
-    /// instance. Without this they would learn it with the next answer, or
-    /// after a quarter of a second of silence.
-    pub fn announce(&self) {
+    /// Sends the load of the local instance to every linked node at once,
+    /// instead of with the next reply or ping.
+    pub fn broadcast_load(&self) {
         let load = self.serve.load(self.now());
-        self.report(self.me, load);
+        self.record_load(self.me, load);
         for session in self.sessions.borrow().values() {
             let able = self.is_able();
             session.send(Frame::Pong(self.edition(), able, load));
         }
     }
 
-    /// Tells every linked node that the own instance has left, so that a
-    /// next life of this node can be told.
-    pub fn announce_departure(&self, instance: &Lifetime) {
+    /// Announces to every linked node that the local instance has departed,
+    /// so that they can tell this node after a restart.
+    pub fn broadcast_departure(&self, instance: &Lifetime) {
         for link in self.links() {
             link.send(Frame::Departed(instance.clone()));
         }
     }
 
-    /// The instance beside a node has left.
-    pub fn note_departed(&self, node: NodeId, instance: Lifetime) {
+    /// Records that the instance of a node has departed.
+    pub fn record_departed(&self, node: NodeId, instance: Lifetime) {
         let mut departed = self.departed.borrow_mut();
-        let ids = departed.entry(node).or_default();
-        if ids.contains(&instance) {
+        let lifetimes = departed.entry(node).or_default();
+        if lifetimes.contains(&instance) {
             return;
         }
-        if ids.len() == DEPARTED_MAX {
-            ids.pop_front();
+        if lifetimes.len() == MAX_DEPARTED_INSTANCES {
+            lifetimes.pop_front();
         }
-        ids.push_back(instance);
+        lifetimes.push_back(instance);
     }
 
-    /// Instances that have left, as a node told before it ended.
+    /// The departed instances that an earlier incarnation of a node announced.
     pub fn departed(&self, node: NodeId) -> Vec<Lifetime> {
         let departed = self.departed.borrow();
-        let ids = departed.get(&node).into_iter().flatten();
-        ids.cloned().collect()
+        let lifetimes = departed.get(&node).into_iter().flatten();
+        lifetimes.cloned().collect()
     }
 
-    /// What this node says of itself on a new link.
+    /// The hello that this node sends on a new link.
     pub fn hello(&self) -> Hello {
         Hello {
             protocol: PROTOCOL,
             node: self.me,
-            life: self.life,
+            life: self.incarnation,
             zone: self.settings.zone.clone(),
             service: self.settings.service.clone(),
             edition: self.edition(),
             era: self.eras.last(),
             load: self.serve.load(self.now()),
-            known: self.some_known(),
+            known: self.sample_known(),
             fleet: self.quotas.known(),
         }
     }
 
-    /// A few of the nodes that this one reaches, others each time.
-    fn some_known(&self) -> Vec<NodeId> {
+    /// A random sample of the nodes that this one reaches.
+    fn sample_known(&self) -> Vec<NodeId> {
         let up = |link: &Rc<Link>| link.is_up().then_some(link.node);
         let mut known: Vec<NodeId> =
             self.links().iter().filter_map(up).collect();
-        let count = known.len().min(KNOWN_MAX);
+        let count = known.len().min(MAX_HELLO_NODES);
         let mut rng = self.rng.borrow_mut();
         let (some, _) = known.partial_shuffle(&mut *rng, count);
         some.to_vec()
     }
 
-    /// All links.
+    /// The links to all other nodes.
     pub fn links(&self) -> Vec<Rc<Link>> {
         self.links.borrow().values().cloned().collect()
     }
@@ -262,8 +261,8 @@
         self.links.borrow().get(&node).cloned()
     }
 
-    /// Opens a link to a node that was heard of.
-    pub fn learn(self: &Rc<State>, node: NodeId) {
+    /// Opens a link to a node, if there is none yet.
+    pub fn add_node(self: &Rc<State>, node: NodeId) {
         if node == self.me || self.links.borrow().contains_key(&node) {
             return;
         }
@@ -273,14 +272,14 @@
         self.links.borrow_mut().insert(node, link);
     }
 
-    /// Closes the link to a node that is gone.
-    pub fn forget(&self, node: NodeId) {
+    /// Closes the link to a node that is gone, and removes its state.
+    pub fn remove_node(&self, node: NodeId) {
         let Some(link) = self.links.borrow_mut().remove(&node) else {
             return;
         };
         link.close();
         self.departed.borrow_mut().remove(&node);
-        self.balance.borrow_mut().leave(node);
+        self.balancer.borrow_mut().leave(node);
         let fields = [("gone", node.to_string().into())];
         self.journal.change(self.now(), Event::Directory, &fields);
     }
--- a/crates/walnutmoor/src/mesh/store.rs
+++ b/crates/walnutmoor/src/mesh/store.rs
@@ -42,7 +42,7 @@
 /// The pause before a restored store is read anew: all that watch do so, and
 /// one whose answers are of two eras must not be asked without end.
 async fn begin_anew(state: &State) {
-    let pause = state.spread(PAUSE_MIN);
+    let pause = state.jitter(PAUSE_MIN);
     sleep(Duration::from_millis(pause.0)).await;
 }
 
@@ -72,7 +72,7 @@
             let fields = [("store", self.what.into()), ("why", why)];
             state.journal.change(state.now(), Event::Lost, &fields);
         }
-        let pause = state.spread(self.pause);
+        let pause = state.jitter(self.pause);
         self.pause = Millis(self.pause.0 * 2).min(PAUSE_MAX);
         sleep(Duration::from_millis(pause.0)).await;
     }
--- a/crates/walnutmoor/src/mesh/store/directory.rs
+++ b/crates/walnutmoor/src/mesh/store/directory.rs
@@ -80,7 +80,7 @@
                 let pause = if registered { look } else { PAUSE_MAX };
                 // Stores close a connection that is idle for as long.
                 client.disconnect();
-                let pause = state.spread(pause);
+                let pause = state.jitter(pause);
                 registered &= is_kept(&state, &mut eras, pause).await;
                 stale = registered;
             }
@@ -98,7 +98,7 @@
 ) -> bool {
     let next = Instant::now() + Duration::from_millis(pause.0);
     while timeout_at(next, eras.changed()).await.is_ok() {
-        let wait = state.draw() * check_within(state).0 as f64;
+        let wait = state.random_fraction() * check_within(state).0 as f64;
         sleep(Duration::from_millis(wait as u64)).await;
         if !is_registered(state).await {
             let fields = [("registered", "again".into())];
@@ -156,17 +156,17 @@
 fn compare(state: &Rc<State>, objects: &[Object]) -> bool {
     let records = objects.iter().filter_map(|object| record(state, object));
     let nodes: Set<NodeId> = records.map(|record| record.node).collect();
-    nodes.iter().for_each(|node| state.learn(*node));
+    nodes.iter().for_each(|node| state.add_node(*node));
     state.has_directory.set(true);
     if is_incomplete(state) {
         // A record that a restore took away is no goodbye of its node.
-        state.quotas.hear_of(nodes.len());
+        state.quotas.record_reported_size(nodes.len());
         return nodes.contains(&state.me);
     }
-    state.quotas.count_fleet(nodes.len());
+    state.quotas.set_directory_size(nodes.len());
     for link in state.links() {
         if !link.is_up() && !nodes.contains(&link.node) {
-            state.forget(link.node);
+            state.remove_node(link.node);
         }
     }
     nodes.contains(&state.me)
--- a/crates/walnutmoor/src/mesh/store/suspects.rs
+++ b/crates/walnutmoor/src/mesh/store/suspects.rs
@@ -24,7 +24,7 @@
     client::{CALL_WITHIN, Client, Error},
     watch::{LOOK_WATCH, WATCH, is_settled_watcher},
 };
-use crate::mesh::{journal::Event, state::State, suspicion::STORE};
+use crate::mesh::{journal::Event, state::State, suspicion::SOURCE_STORE};
 
 /// Objects at most; an object has some 300 bytes. Callers that bring more
 /// such requests at once meet what links tell.
@@ -146,7 +146,7 @@
 
 fn hear(state: &Rc<State>, object: &Object) {
     match serde_json::from_slice::<Evidence>(&object.spec) {
-        Ok(evidence) => state.hear(&[evidence], STORE),
+        Ok(evidence) => state.merge_evidence(&[evidence], SOURCE_STORE),
         Err(error) => {
             let why = format!("suspect {}: {error}", object.name);
             let fields = [("why", why.into())];
@@ -164,7 +164,7 @@
         let done = if let Some(request) = state.suspicion.next_write() {
             let done = write(&state, &mut client, request).await;
             if done.is_err() {
-                state.suspicion.write_again(request);
+                state.suspicion.queue_write(request);
             }
             done
         } else if let Some(request) = state.suspicion.next_removal() {
--- a/crates/walnutmoor/src/mesh/suspicion.rs
+++ b/crates/walnutmoor/src/mesh/suspicion.rs
@@ -1,13 +1,12 @@
 /*!
-What this node believes of requests under which instances have ended, and how
-it is told on.
-
-`walnutmoor_core::poison` decides. Here the evidence travels three ways, as
-each of them may be cut: with the request itself, from the node where an
-instance ended to the one that sent it, and on to the next instance; over all
-links, at once and again whenever one opens; and, from the second crash on,
-through the store, which is read by nodes that links don't reach or that have
-just begun.
+Tracks requests suspected of crashing instances, and shares the evidence.
+
+`walnutmoor_core::poison` evaluates the evidence; this module distributes it.
+Evidence travels on three paths, since each may be cut: with the request
+itself, in the reply to the sending node and in its next attempt; over all
+links, when it changes and whenever a link opens; and, from the second crash
+on, through the store, for nodes that are unreachable over links or have just
+started.
 */
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
@@ -21,131 +20,138 @@
 
 use super::{frame::Frame, journal::Event, state::State};
 
-/// Requests that one message tells of; what ran when a large instance ended
-/// may be more, and then the rest is told by the requests themselves.
-const TOLD_MAX: usize = 256;
+/// The maximum number of requests in one evidence frame. Evidence beyond it
+/// travels with the requests themselves.
+const MAX_EVIDENCE_PER_FRAME: usize = 256;
 
-/// The pause in which what is to be told is gathered: all runs of an instance
-/// that ended break within it.
-const GATHER: Duration = Duration::from_millis(2);
+/// How long evidence is batched before it is broadcast. All runs of a crashed
+/// instance break within this time.
+const BATCH_DELAY: Duration = Duration::from_millis(2);
 
-/// Requests that wait to be written to the store.
-const WRITES_MAX: usize = 64;
+/// The maximum number of requests queued for the store.
+const MAX_PENDING_WRITES: usize = 64;
 
-/// The least status of an answer that tells of a failure. A run that failed
-/// may have ended before it came to what ends the instance.
-const FAILURE: u16 = 500;
+/// The lowest response status that does not count as a success. A failed run
+/// may have ended before the point at which it would crash the instance.
+const MIN_FAILURE_STATUS: u16 = 500;
 
-/// Evidence that was read from the store.
-pub(super) const STORE: &str = "store";
+/// The source of evidence that was read from the store.
+pub(super) const SOURCE_STORE: &str = "store";
 
-/// Evidence that another node told.
-pub(super) const PEER: &str = "peer";
+/// The source of evidence that was received from another node.
+pub(super) const SOURCE_PEER: &str = "peer";
 
-/// The pause between looks for what has lapsed.
-pub(super) const SWEEP: Millis = Millis(1_000);
+/// The pause between removals of expired evidence.
+pub(super) const SWEEP_INTERVAL: Millis = Millis(1_000);
 
-/// The beliefs, and what is to be told of them.
+/// The evidence known to this node, and what is queued to be shared.
 #[derive(Debug, Default)]
 pub(super) struct Suspicion {
     register: RefCell<Register>,
-    to_tell: RefCell<Set<Fingerprint>>,
-    to_write: RefCell<Set<Fingerprint>>,
-    to_remove: RefCell<Set<Fingerprint>>,
-    /// There is something to write to the store, or to remove there.
+    pending_broadcasts: RefCell<Set<Fingerprint>>,
+    pending_writes: RefCell<Set<Fingerprint>>,
+    pending_removals: RefCell<Set<Fingerprint>>,
+    /// Notified when a write to or a removal from the store is queued.
     pub(super) has_writes: Notify,
 }
 
 impl Suspicion {
-    /// The next request of which the store is to be told.
+    /// Takes a request whose evidence is to be written to the store.
     pub(super) fn next_write(&self) -> Option<Fingerprint> {
-        let mut to_write = self.to_write.borrow_mut();
-        let next = to_write.iter().next().copied()?;
-        to_write.remove(&next);
+        let mut pending_writes = self.pending_writes.borrow_mut();
+        let next = pending_writes.iter().next().copied()?;
+        pending_writes.remove(&next);
         Some(next)
     }
 
-    /// The next request that the store may forget.
+    /// Takes a request that is to be removed from the store.
     pub(super) fn next_removal(&self) -> Option<Fingerprint> {
-        let mut to_remove = self.to_remove.borrow_mut();
-        let next = to_remove.iter().next().copied()?;
-        to_remove.remove(&next);
+        let mut pending_removals = self.pending_removals.borrow_mut();
+        let next = pending_removals.iter().next().copied()?;
+        pending_removals.remove(&next);
         Some(next)
     }
 
-    /// The store did not take it: it is tried again.
-    pub(super) fn write_again(&self, request: Fingerprint) {
-        let mut to_write = self.to_write.borrow_mut();
-        if to_write.len() < WRITES_MAX {
-            to_write.insert(request);
+    /// Queues a request to be written to the store, if there is room.
+    pub(super) fn queue_write(&self, request: Fingerprint) {
+        let mut pending_writes = self.pending_writes.borrow_mut();
+        if pending_writes.len() < MAX_PENDING_WRITES {
+            pending_writes.insert(request);
         }
     }
 
-    fn remove_later(&self, request: Fingerprint) {
-        let mut to_remove = self.to_remove.borrow_mut();
-        if to_remove.len() < WRITES_MAX {
-            to_remove.insert(request);
+    /// Queues a request to be removed from the store, if there is room.
+    fn queue_removal(&self, request: Fingerprint) {
+        let mut pending_removals = self.pending_removals.borrow_mut();
+        if pending_removals.len() < MAX_PENDING_WRITES {
+            pending_removals.insert(request);
         }
     }
 }
 
 impl State {
-    /// What is believed of a request.
+    /// Whether a request is clear, suspect or barred.
     pub fn standing(&self, request: Fingerprint) -> Standing {
         let register = self.suspicion.register.borrow();
         register.standing(self.now(), request)
     }
 
-    /// True if a request with this content ran well here a moment ago.
-    pub(super) fn is_sound(&self, request: Fingerprint) -> bool {
+    /// True if a request with this content succeeded here recently.
+    pub(super) fn has_recent_success(&self, request: Fingerprint) -> bool {
         let register = self.suspicion.register.borrow();
         register.has_recent_success(self.now(), request)
     }
 
-    /// What is known of a request, if anything is.
+    /// The evidence against a request, if there is any.
     pub fn evidence(&self, request: Fingerprint) -> Option<Evidence> {
         let register = self.suspicion.register.borrow();
         register.evidence(self.now(), request)
     }
 
-    /// What is known of so many of the worst.
+    /// The evidence against the worst requests, at most this many.
     pub(super) fn worst_evidence(&self, most: usize) -> Vec<Evidence> {
         let register = self.suspicion.register.borrow();
         register.worst(self.now(), most)
     }
 
-    /// What is known of the worst, for a node that has just linked.
-    pub(super) fn known_evidence(&self) -> Option<Frame> {
-        let all = self.worst_evidence(TOLD_MAX);
+    /// A frame with the evidence against the worst requests, for a new link;
+    /// `None` if there is none.
+    pub(super) fn evidence_frame(&self) -> Option<Frame> {
+        let all = self.worst_evidence(MAX_EVIDENCE_PER_FRAME);
         (!all.is_empty()).then_some(Frame::Evidence(all))
     }
 
-    /// Has the store told of a request.
+    /// Queues a request to be written to the store, and wakes the writer.
     pub(super) fn write_suspect(&self, request: Fingerprint) {
-        self.suspicion.write_again(request);
+        self.suspicion.queue_write(request);
         self.suspicion.has_writes.notify_one();
     }
 
-    /// How many requests are known.
+    /// The number of requests with evidence against them.
     pub fn suspects(&self) -> usize {
         self.suspicion.register.borrow().len()
     }
 
-    /// The instance beside this node has ended, and ran these.
-    pub(super) fn accuse(self: &Rc<State>, crash: Crash, ran: &[Fingerprint]) {
+    /// Records a crash of the local instance while it ran these requests.
+    pub(super) fn record_local_crash(
+        self: &Rc<State>,
+        crash: Crash,
+        ran: &[Fingerprint],
+    ) {
         let now = self.now();
         let changes = {
             let mut register = self.suspicion.register.borrow_mut();
             register.record_crash(now, crash, ran)
         };
         for change in changes {
-            self.follow_change(&change, "own instance");
-            self.tell(change.evidence.fingerprint);
+            self.handle_change(&change, "own instance");
+            self.broadcast(change.evidence.fingerprint);
         }
     }
 
-    /// A request of this node's callers has met the end of an instance.
-    pub(super) fn accuse_own(
+    /// Records a crash, reported in a reply, of an instance that ran a request
+    /// of this node's callers.
+    pub(super) fn record_reported_crash(
         self: &Rc<State>,
         crash: Crash,
         request: Fingerprint,
@@ -156,38 +162,43 @@
             register.record_crash(now, crash, &[request])
         };
         for change in changes {
-            self.follow_change(&change, "reply");
-            // The node beside the instance may not reach all others.
+            self.handle_change(&change, "reply");
+            // The instance's own node may not reach all other nodes.
             if change.evidence.is_shared() {
-                self.tell(request);
+                self.broadcast(request);
             }
         }
     }
 
-    /// Takes what another node or the store tells.
-    pub(super) fn hear(self: &Rc<State>, told: &[Evidence], source: &str) {
-        for evidence in told {
+    /// Merges evidence from another node or the store.
+    pub(super) fn merge_evidence(
+        self: &Rc<State>,
+        all: &[Evidence],
+        source: &str,
+    ) {
+        for evidence in all {
             let change = {
                 let mut register = self.suspicion.register.borrow_mut();
                 register.merge(self.now(), evidence)
             };
             if let Some(change) = change {
-                self.follow_change(&change, source);
-                // Those that watch the store tell all others.
-                if source == STORE {
-                    self.tell(change.evidence.fingerprint);
+                self.handle_change(&change, source);
+                // Only watchers read the store; they inform all others.
+                if source == SOURCE_STORE {
+                    self.broadcast(change.evidence.fingerprint);
                 }
             }
         }
     }
 
-    /// A request has run to its end at the instance beside this node.
-    pub(super) fn note_run(
+    /// Records a response of the local instance. A success refutes the
+    /// suspicion of its request.
+    pub(super) fn record_response(
         self: &Rc<State>,
         request: Fingerprint,
         status: u16,
     ) {
-        if status >= FAILURE {
+        if status >= MIN_FAILURE_STATUS {
             return;
         }
         let change = {
@@ -195,53 +206,52 @@
             register.record_success(self.now(), request)
         };
         if let Some(change) = change {
-            self.follow_change(&change, "ran to its end");
+            self.handle_change(&change, "ran to its end");
             if change.evidence.is_shared() {
-                self.tell(request);
+                self.broadcast(request);
             }
         }
     }
 
-    /// Forgets what has lapsed.
+    /// Removes expired evidence.
     pub(super) fn sweep_suspicions(&self) {
-        let over = {
+        let expired = {
             let mut register = self.suspicion.register.borrow_mut();
             register.sweep(self.now())
         };
-        for evidence in over {
+        for evidence in expired {
             if !evidence.is_shared() {
                 continue;
             }
-            self.note_suspicion("ends", &evidence, "lapsed");
-            // One that watches the store is enough to tidy up there.
+            self.log_suspicion("ends", &evidence, "lapsed");
+            // Only watchers remove it from the store.
             if self.is_watcher() {
-                self.suspicion.remove_later(evidence.fingerprint);
+                self.suspicion.queue_removal(evidence.fingerprint);
                 self.suspicion.has_writes.notify_one();
             }
         }
     }
 
-    /// Logs a change, and has the store told of it. Where a suspicion begins,
-    /// the line of the crash names all that ran.
-    fn follow_change(&self, change: &Change, source: &str) {
+    /// Logs a change, and queues it for the store.
+    fn handle_change(&self, change: &Change, source: &str) {
         let Change { evidence, before, after } = change;
         if !evidence.is_shared() {
             return;
         }
         let step = match (before, after) {
             (_, Standing::Clear) => "ends",
-            // A node that has just begun may hear of all crashes at once.
+            // A node that has just started may learn of all crashes at once.
             (_, Standing::Barred(_)) => "is barred",
             (Standing::Clear, _) => "begins",
             _ => "grows",
         };
-        self.note_suspicion(step, evidence, source);
-        if source != STORE && source != PEER {
+        self.log_suspicion(step, evidence, source);
+        if source != SOURCE_STORE && source != SOURCE_PEER {
             self.write_suspect(evidence.fingerprint);
         }
     }
 
-    fn note_suspicion(&self, step: &str, evidence: &Evidence, source: &str) {
+    fn log_suspicion(&self, step: &str, evidence: &Evidence, source: &str) {
         let fields = [
             ("step", step.into()),
             ("fingerprint", evidence.fingerprint.to_string().into()),
@@ -253,26 +263,26 @@
         self.journal.change(self.now(), Event::Suspicion, &fields);
     }
 
-    /// Tells all linked nodes of a request, together with others that come
-    /// up in the same moment.
-    fn tell(self: &Rc<State>, request: Fingerprint) {
-        let mut to_tell = self.suspicion.to_tell.borrow_mut();
-        let first = to_tell.is_empty();
-        if to_tell.len() < TOLD_MAX {
-            to_tell.insert(request);
+    /// Broadcasts the evidence against a request to all linked nodes, batched
+    /// with that against others.
+    fn broadcast(self: &Rc<State>, request: Fingerprint) {
+        let mut pending = self.suspicion.pending_broadcasts.borrow_mut();
+        let is_first = pending.is_empty();
+        if pending.len() < MAX_EVIDENCE_PER_FRAME {
+            pending.insert(request);
         }
-        if first {
-            tokio::task::spawn_local(flush(self.clone()));
+        if is_first {
+            tokio::task::spawn_local(flush_broadcasts(self.clone()));
         }
     }
 }
 
-async fn flush(state: Rc<State>) {
-    tokio::time::sleep(GATHER).await;
-    let requests = state.suspicion.to_tell.take();
-    let told = requests.iter().filter_map(|r| state.evidence(*r));
-    let frame = Frame::Evidence(told.collect());
-    // Either connection of a pair of nodes may be the one that is cut.
+async fn flush_broadcasts(state: Rc<State>) {
+    tokio::time::sleep(BATCH_DELAY).await;
+    let requests = state.suspicion.pending_broadcasts.take();
+    let evidence = requests.iter().filter_map(|r| state.evidence(*r));
+    let frame = Frame::Evidence(evidence.collect());
+    // Two nodes share two connections, and either may be broken.
     for link in state.links() {
         link.send(frame.clone());
     }
--- a/crates/walnutmoor/src/telemetry.rs
+++ b/crates/walnutmoor/src/telemetry.rs
@@ -137,14 +137,14 @@
 
 /// Takes what a node of the mesh knows into the metrics.
 pub fn mesh(state: &mesh::state::State) {
-    let (running, waiting) = state.serve.held();
-    let (dealt, asked) = state.quotas.counts();
+    let (running, waiting) = state.serve.job_counts();
+    let (dealt, asked) = state.quotas.account_counts();
     let edition = state.edition();
     let gauges = [
         ("walnutmoor_running", running),
         ("walnutmoor_queued", waiting),
-        ("walnutmoor_under_way", state.under_way.get()),
-        ("walnutmoor_held_bytes", state.held.get()),
+        ("walnutmoor_under_way", state.in_flight.get()),
+        ("walnutmoor_held_bytes", state.buffered_bytes.get()),
         ("walnutmoor_links", state.links().len()),
         ("walnutmoor_suspects", state.suspects()),
         ("walnutmoor_quotas_dealt", dealt),
