--- a/crates/walnutmoor/src/mesh/node.rs
+++ b/crates/walnutmoor/src/mesh/node.rs
@@ -141,8 +141,8 @@
     };
     while stream.recv().await.is_some() {
         let outcome = match Settings::read(&path) {
-            Ok(_) => "read; addresses and bounds hold until the next start",
-            Err(_) => "can't be read; the former ones hold",
+            Ok(_) => "valid; takes effect at the next start",
+            Err(_) => "unreadable or invalid; current settings stay in force",
         };
         let fields = [("settings", outcome.into())];
         state.journal.change(state.now(), Event::Reload, &fields);
