--- a/crates/walnutmoor/src/mesh/mod.rs
+++ b/crates/walnutmoor/src/mesh/mod.rs
@@ -20,7 +20,7 @@
 | [`frame`] | defines the frames exchanged between nodes |
 | [`serve`] | admits and runs calls on the local instance |
 | [`run`](mod@run) | sends one call to the local instance |
-| [`belief`] | follows the lifetime of the local instance |
+| [`lifetime`] | follows the lifetime of the local instance |
 | [`crash`] | detects crashes of the local instance |
 | [`quotas`] | enforces the quotas of client accounts |
 | [`suspicion`] | tracks requests suspected of crashing instances |
@@ -38,7 +38,6 @@
 ```
 */
 
-pub mod belief;
 pub mod connection;
 pub mod control;
 pub mod crash;
@@ -48,6 +47,7 @@
 pub mod ingress;
 pub mod instance;
 pub mod journal;
+pub mod lifetime;
 pub mod link;
 pub mod node;
 pub mod output;
