--- a/crates/walnutmoor/tests/mesh/accounts.rs
+++ b/crates/walnutmoor/tests/mesh/accounts.rs
@@ -1,4 +1,5 @@
-//! Client accounts: keys at the way in, and what instances are told.
+//! Client accounts: keys at the entry node, the account header sent to
+//! instances, and quotas.
 
 use http::{HeaderName, Method};
 use walnutmoor_core::{
@@ -26,32 +27,34 @@
     (Account::new(name.parse().unwrap()), keys.collect())
 }
 
-/// A desired state with these accounts, and with a public route.
+/// A desired state with these accounts and a public route.
 fn state(version: u64, accounts: &[(Account, Vec<String>)]) -> String {
     let mut routes = routes();
-    let mut open = route("open", Effect::Idempotent, &[("desk", 1)]);
-    open.is_public = true;
-    routes.push(open);
+    let mut public = route("open", Effect::Idempotent, &[("desk", 1)]);
+    public.is_public = true;
+    routes.push(public);
     standin::with_accounts(&desired(version, &routes), accounts)
 }
 
-/// Puts a desired state in force at all nodes.
+/// Writes a desired state, and waits until all nodes have adopted it.
 async fn adopt(world: &World, version: u64, state: &str) {
     world.store.write_desired(state);
-    let line = format!("\"version\":{version},");
+    let field = format!("\"version\":{version},");
     for pair in &world.pairs {
-        until("the state is in force", || async {
+        until("the state is adopted", || async {
             let log = pair.node.log();
             let mut lines = log.lines();
-            lines.any(|l| l.contains("\"desired\"") && has(l, &line))
+            lines.any(|l| l.contains("\"desired\"") && has(l, &field))
         })
         .await;
     }
 }
 
+/// True if a JSON line has the field, which ends in a comma here, in the
+/// middle or at the end of an object.
 fn has(line: &str, field: &str) -> bool {
-    let end = field.replace(',', "}");
-    line.contains(field) || line.contains(&end)
+    let last = field.replace(',', "}");
+    line.contains(field) || line.contains(&last)
 }
 
 async fn world() -> World {
@@ -61,7 +64,7 @@
     world
 }
 
-/// Sends a request with further lines in its head.
+/// Sends a request with additional header lines.
 async fn send(
     world: &World,
     index: usize,
@@ -72,12 +75,12 @@
     let at = world.pairs[index].node.addresses().callers;
     let path = format!("/{route}/x");
     let mut text = text(Method::POST, &path, &headers(attempt, 5_000), "b");
-    let mut more = String::new();
+    let mut added = String::new();
     for (name, value) in lines {
-        more.push_str(&format!("{name}: {value}\r\n"));
+        added.push_str(&format!("{name}: {value}\r\n"));
     }
-    let at_head = text.find("\r\n").unwrap() + 2;
-    text.insert_str(at_head, &more);
+    let head_start = text.find("\r\n").unwrap() + 2;
+    text.insert_str(head_start, &added);
     caller::raw(at, &text).await.unwrap()
 }
 
@@ -86,7 +89,7 @@
 }
 
 #[test]
-fn an_instance_is_told_the_account_and_never_the_key() {
+fn an_instance_receives_the_account_and_never_the_key() {
     run(async {
         let world = world().await;
         let desk = &world.pairs[1].instance;
@@ -109,13 +112,13 @@
 }
 
 #[test]
-fn what_bears_no_key_that_holds_is_refused_and_runs_nowhere() {
+fn a_request_without_a_valid_key_is_refused_and_does_not_run() {
     run(async {
         let world = world().await;
         let name = KEY_NAME.as_str();
         let wrong_case = KEY.to_uppercase();
         let long = "k".repeat(12_000);
-        let odd: [&[(&str, &str)]; 8] = [
+        let invalid: [&[(&str, &str)]; 8] = [
             &[],
             &[(name, "")],
             &[(name, "unknown")],
@@ -126,7 +129,7 @@
             &[(name, &long)],
         ];
 
-        for (n, lines) in odd.into_iter().enumerate() {
+        for (n, lines) in invalid.into_iter().enumerate() {
             let id = format!("odd{n}");
             let answer = send(&world, 0, "order", &id, lines).await;
 
@@ -156,7 +159,7 @@
 }
 
 #[test]
-fn an_instances_calls_need_no_key_and_ids_alike_do_not_help() {
+fn nested_calls_need_no_key_and_similar_ids_are_refused() {
     run(async {
         let world = world().await;
         let desk = &world.pairs[1].instance;
@@ -189,23 +192,23 @@
 }
 
 #[test]
-fn a_key_that_is_taken_away_ends_on_connections_that_are_open() {
+fn a_removed_key_is_refused_on_open_connections() {
     run(async {
         let world = world().await;
         let at = world.pairs[0].node.addresses().callers;
         let mut caller = Connection::open(at).await.unwrap();
-        let with = |attempt: &str, key: &str| {
+        let request = |attempt: &str, key: &str| {
             let mut all = headers(attempt, 20_000);
             all.push((header::KEY, key.into()));
             text(Method::GET, "/browse/x", &all, "")
         };
-        caller.write(&with("before", KEY)).await.unwrap();
+        caller.write(&request("before", KEY)).await.unwrap();
         assert_eq!(caller.read().await.unwrap().status, 200);
 
         let accounts = [account("acme", &["new"]), account("bolt", &[OTHER])];
         adopt(&world, 3, &state(3, &accounts)).await;
-        let ahead = with("gone", KEY) + &with("new", "new");
-        caller.write(&ahead).await.unwrap();
+        let pipelined = request("gone", KEY) + &request("new", "new");
+        caller.write(&pipelined).await.unwrap();
 
         assert_eq!(caller.read().await.unwrap().status, 401);
         assert_eq!(caller.read().await.unwrap().status, 200);
@@ -214,7 +217,7 @@
 }
 
 #[test]
-fn a_node_cut_off_from_the_store_hears_of_a_removed_key_from_its_peers() {
+fn a_node_cut_off_from_the_store_learns_of_a_removed_key_from_its_peers() {
     run(async {
         let world = world().await;
         world.pairs[0].store.set(Mode::Silent);
@@ -230,7 +233,7 @@
 }
 
 #[test]
-fn a_state_with_one_key_for_two_accounts_is_refused_whole_and_told() {
+fn a_state_with_one_key_for_two_accounts_is_refused_whole_and_reported() {
     run(async {
         let world = world().await;
 
@@ -269,9 +272,9 @@
         }
         let accounts = [account("acme", &["added-key"])];
         adopt(&world, 3, &state(3, &accounts)).await;
-        let odd =
+        let malformed =
             state(4, &accounts).replace("[\"added-key\"]", "\"added-key\"");
-        world.store.write_desired(&odd);
+        world.store.write_desired(&malformed);
         until("it is reported", || async {
             world.pairs[0].node.log().contains("\"fault\"")
         })
@@ -279,10 +282,10 @@
 
         for pair in &world.pairs {
             let at = pair.node.addresses().metrics;
-            let asked =
+            let metrics =
                 caller::send(at, Method::GET, "/metrics", &[], String::new());
-            texts.push(asked.await.unwrap().body);
-            // What a caller writes into its id is its own to show.
+            texts.push(metrics.await.unwrap().body);
+            // Request lines show ids, which are chosen by callers.
             let log = pair.node.log();
             let lines = log.lines().filter(|l| !l.contains("\"request\""));
             texts.extend(lines.map(str::to_string));
@@ -295,7 +298,7 @@
 }
 
 #[test]
-fn an_account_is_cut_at_its_quota_over_all_nodes_and_no_other_is() {
+fn an_account_is_limited_to_its_quota_over_all_nodes_and_no_other_is() {
     run(async {
         let world = World::start(&["front", "desk", "front"]).await;
         let (acme, keys) = account("acme", &[KEY]);
@@ -311,8 +314,9 @@
                 200 => assert_eq!(world.runs(&id), 1),
                 429 => {
                     refused += 1;
-                    let back = answer.headers.get(http::header::RETRY_AFTER);
-                    assert!(back.is_some());
+                    let retry_after =
+                        answer.headers.get(http::header::RETRY_AFTER);
+                    assert!(retry_after.is_some());
                     assert_eq!(world.runs(&id), 0);
                 }
                 other => panic!("{other}"),
@@ -322,10 +326,10 @@
             assert_eq!(answer.status, 200);
         }
 
-        // A window of five seconds, a tenth and twenty beyond, as the bounds
-        // are where the platform sets none.
-        let most = (5.0 * 1.0 + 10.0) * 1.1 + 20.0;
-        assert!(f64::from(90 - refused) <= most, "{refused}");
+        // The default bounds: the quota of a window of 5 s, plus 10 % and 20
+        // requests.
+        let max = (5.0 * 1.0 + 10.0) * 1.1 + 20.0;
+        assert!(f64::from(90 - refused) <= max, "{refused}");
         assert!(refused < 90);
     });
 }
--- a/crates/walnutmoor/tests/mesh/faults.rs
+++ b/crates/walnutmoor/tests/mesh/faults.rs
@@ -1,4 +1,4 @@
-//! Instances that misbehave, and nodes that are killed or stand still.
+//! Misbehaving instances, and nodes that are killed or stopped.
 
 use std::time::Duration;
 
@@ -6,25 +6,25 @@
 
 use crate::fixture::{World, is_promise, run, until};
 
-/// Sends orders to the first node while something goes wrong; each must have
-/// run once at most, and not at all if its answer promises so.
-async fn order(world: &World, name: &str, count: u32) {
+/// Sends requests that may run only once to the first node during a fault.
+/// Each must run at most once, and not at all if its response says so.
+async fn send_orders(world: &World, name: &str, count: u32) {
     for n in 0..count {
         let id = format!("{name}-{n}");
         let answer = world.send(0, "order", &id).await;
         let runs = world.runs(&id);
         assert!(runs <= 1, "{id} ran {runs} times");
         if answer.as_ref().is_some_and(is_promise) {
-            assert_eq!(runs, 0, "{id} was said not to have run");
+            assert_eq!(runs, 0, "{id} ran, but its response says not");
         }
         if answer.is_some_and(|answer| answer.status == 200) {
-            assert_eq!(runs, 1, "{id} was served without a run");
+            assert_eq!(runs, 1, "{id} got status 200 without a run");
         }
     }
 }
 
 #[test]
-fn orders_run_once_whatever_becomes_of_their_answers() {
+fn orders_run_at_most_once_whatever_happens_to_their_answers() {
     let moods = [
         Mood::LosesAnswers,
         Mood::CutsAnswers,
@@ -37,7 +37,7 @@
         let world = World::start(&["front", "desk", "desk"]).await;
         for mood in moods {
             world.pairs[1].instance.set_mood(mood);
-            order(&world, &format!("{mood:?}"), 10).await;
+            send_orders(&world, &format!("{mood:?}"), 10).await;
         }
     });
 }
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_answer_cut_short_or_without_signature_never_looks_whole() {
+fn a_truncated_or_unsigned_answer_becomes_an_error() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
         for mood in [Mood::CutsAnswers, Mood::Forges] {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn browsing_goes_to_the_sibling_of_an_instance_that_loses_answers() {
+fn idempotent_requests_go_to_the_sibling_of_an_instance_that_loses_answers() {
     run(async {
         let world = World::start(&["front", "desk", "desk"]).await;
         for n in 0..60 {
@@ -84,7 +84,7 @@
 
         world.served(0, "browse", "again").await;
 
-        order(&world, "sibling", 20).await;
+        send_orders(&world, "sibling", 20).await;
     });
 }
 
@@ -92,14 +92,14 @@
 fn a_killed_node_is_found_again_and_runs_nothing_twice() {
     run(async {
         let mut world = World::start(&["front", "desk"]).await;
-        order(&world, "before", 3).await;
+        send_orders(&world, "before", 3).await;
 
         world.pairs[1].node.kill();
-        order(&world, "down", 3).await;
+        send_orders(&world, "down", 3).await;
         world.pairs[1].node.restart();
 
         world.served(0, "order", "after").await;
-        order(&world, "up", 3).await;
+        send_orders(&world, "up", 3).await;
     });
 }
 
@@ -110,10 +110,10 @@
         world.pairs[1].node.signal("STOP");
 
         world.served(0, "browse", "frozen").await;
-        order(&world, "ice", 5).await;
+        send_orders(&world, "ice", 5).await;
         world.pairs[1].node.signal("CONT");
 
-        order(&world, "melt", 5).await;
+        send_orders(&world, "melt", 5).await;
         let desk = &world.pairs[1].instance;
         let mut n = 0;
         until("the thawed node gets work", || {
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn nothing_new_is_sent_to_a_node_that_does_not_answer() {
+fn no_request_is_sent_to_an_unresponsive_node() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
 
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_node_restarted_while_the_store_is_away_learns_from_its_peers() {
+fn a_node_restarted_while_the_store_is_down_learns_from_its_peers() {
     run(async {
         let mut world = World::start(&["front", "desk"]).await;
         world.store.set_down(true);
@@ -187,7 +187,7 @@
         world.pairs[1].instance.set_mood(Mood::Forgets);
 
         for n in 0..4 {
-            // Longer than the instance remembers.
+            // Longer than the instance keeps an idle connection.
             tokio::time::sleep(Duration::from_millis(700)).await;
             let id = format!("idle-{n}");
             let answer = world.send(0, "order", &id).await.unwrap();
--- a/crates/walnutmoor/tests/mesh/poison.rs
+++ b/crates/walnutmoor/tests/mesh/poison.rs
@@ -1,21 +1,5 @@
-//! One lookup ended each instance of the fleet records service that ran it.
-//! Its caller came again with the same path and body, each time as a new
-//! attempt and at any node, and each attempt was sent to as many instances as
-//! its route allows, with all that they held. The service was down for half a
-//! minute, thrice a day; twelve and seventeen instances ended under two such
-//! requests, eight and thirteen of them after it could have been known.
-//!
-//! Nodes knew a request by its attempt only, and an instance that had ended
-//! was to them one more broken connection. Once the log named the content of a
-//! request and what an instance had run when it ended, the lines of this very
-//! test told that it is one request, and not the load, that ends instances:
-//!
-//! ```text
-//! "event":"crash","instance":"i-2","ran":1,"fingerprints":["85c5cb9f…"]
-//! "event":"crash","instance":"i-3","ran":1,"fingerprints":["85c5cb9f…"]
-//! "event":"crash","instance":"i-4","ran":1,"fingerprints":["85c5cb9f…"]
-//! "event":"crash","instance":"i-2.1","ran":1,"fingerprints":["85c5cb9f…"]
-//! ```
+//! A request that crashes every instance that runs it must be barred by its
+//! content, as its caller and the nodes retry it as new attempts.
 
 use std::time::Duration;
 
@@ -27,33 +11,34 @@
 
 use crate::fixture::{World, desired, route, routes, run, until};
 
-/// How long nodes have to hear of the third crash under a request.
-const KNOWN_WITHIN: Duration = Duration::from_secs(3);
+/// How long all nodes may take to learn of the third crash of a request.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How often a request may reach an instance after that.
-const REPEATS_MAX: usize = 3;
+/// The maximum number of times that the request reaches an instance after
+/// that.
+const MAX_LATE_ARRIVALS: usize = 3;
 
-/// Crashes after which a request is to be known.
-const CRASHES: usize = 3;
+/// The number of crashes after which a request must be barred.
+const CRASHES_TO_BAR: usize = 3;
 
-/// How long a crashed instance is away.
-const DOWN: Duration = Duration::from_millis(600);
+/// How long a crashed instance is down.
+const DOWNTIME: Duration = Duration::from_millis(600);
 
-/// The body that ends instances.
-const SPOILED: &str = "spoiled";
+/// The body that crashes instances.
+const CRASHING_BODY: &str = "spoiled";
 
-/// Callers' nodes and three instances of one service, which end when they run
-/// a request with that body.
-async fn faulty() -> World {
+/// Two entry nodes and three instances of one service, which crash when they
+/// run a request with that body.
+async fn crashing_world() -> World {
     let services = ["front", "front", "desk", "desk", "desk"];
     let world = World::start(&services).await;
     for pair in &world.pairs {
-        pair.instance.set_fault(SPOILED, DOWN);
+        pair.instance.set_fault(CRASHING_BODY, DOWNTIME);
     }
     world
 }
 
-/// When instances ended, in order.
+/// The times of all crashes, sorted.
 fn crashes(world: &World) -> Vec<Instant> {
     let all = world.pairs.iter().flat_map(|pair| pair.instance.crashes());
     let mut all: Vec<Instant> = all.collect();
@@ -61,57 +46,58 @@
     all
 }
 
-/// How often the request reached an instance after a moment.
+/// How often the request reached an instance after this time.
 fn arrivals_after(world: &World, from: Instant) -> usize {
     let all = world.pairs.iter().flat_map(|pair| pair.instance.arrivals());
-    let late = all.filter(|a| a.body == SPOILED && a.at > from);
+    let late = all
+        .filter(|arrival| arrival.body == CRASHING_BODY && arrival.at > from);
     late.count()
 }
 
-/// The caller comes again and again, at one node after the other.
+/// Sends the request repeatedly, to one node after the other.
 async fn resend(world: &World, name: &str, times: usize) {
     for n in 0..times {
         let id = format!("{name}-{n}");
         let node = n % world.pairs.len();
-        world.send_body(node, "browse", &id, SPOILED).await;
+        world.send_body(node, "browse", &id, CRASHING_BODY).await;
         sleep(Duration::from_millis(40)).await;
     }
 }
 
-/// Comes again until three instances have ended.
+/// Sends the request until three instances have crashed.
 async fn until_three(world: &World) -> Instant {
     let mut n = 0;
-    until("three instances have ended", || {
+    until("three instances have crashed", || {
         n += 1;
         let id = format!("first-{n}");
         async move {
-            world.send_body(0, "browse", &id, SPOILED).await;
-            crashes(world).len() >= CRASHES
+            world.send_body(0, "browse", &id, CRASHING_BODY).await;
+            crashes(world).len() >= CRASHES_TO_BAR
         }
     })
     .await;
-    crashes(world)[CRASHES - 1]
+    crashes(world)[CRASHES_TO_BAR - 1]
 }
 
 #[test]
-fn a_request_under_which_three_instances_ended_reaches_no_more_of_them() {
+fn a_request_that_crashed_three_instances_reaches_no_more_of_them() {
     run(async {
-        let world = faulty().await;
+        let world = crashing_world().await;
         let third = until_three(&world).await;
-        sleep(KNOWN_WITHIN).await;
+        sleep(PROPAGATION_TIMEOUT).await;
 
         resend(&world, "again", 150).await;
 
-        let late = arrivals_after(&world, third + KNOWN_WITHIN);
-        let ended = crashes(&world).len();
+        let late = arrivals_after(&world, third + PROPAGATION_TIMEOUT);
+        let crashed = crashes(&world).len();
         assert!(
-            late <= REPEATS_MAX,
-            "sent {late} times more; {ended} instances ended"
+            late <= MAX_LATE_ARRIVALS,
+            "sent {late} times more; {crashed} instances crashed"
         );
     });
 }
 
-/// Comes again until every node has barred so many requests.
+/// Sends the request until every node has barred this many requests.
 async fn until_barred(world: &World, name: &str, body: &str, count: usize) {
     let mut n = 0;
     until("every node has barred it", || {
@@ -126,8 +112,8 @@
     .await;
 }
 
-/// True if every instance listens again and its node believes so.
-async fn whole_again(world: &World) {
+/// Waits until all instances have restarted and are ready to all nodes.
+async fn until_recovered(world: &World) {
     for node in 0..world.pairs.len() {
         world.served(node, "browse", &format!("whole-{node}")).await;
     }
@@ -135,14 +121,14 @@
 }
 
 #[test]
-fn a_refusal_is_true_final_and_tells_when_to_come_back() {
+fn a_refused_request_does_not_run_and_gets_a_retry_after() {
     run(async {
-        let world = faulty().await;
+        let world = crashing_world().await;
         until_three(&world).await;
-        until_barred(&world, "known", SPOILED, 1).await;
+        until_barred(&world, "known", CRASHING_BODY, 1).await;
         let before = crashes(&world).len();
 
-        let answer = world.send_body(1, "browse", "late", SPOILED).await;
+        let answer = world.send_body(1, "browse", "late", CRASHING_BODY).await;
 
         let answer = answer.unwrap();
         assert_eq!(answer.status, 503);
@@ -166,20 +152,20 @@
 }
 
 #[test]
-fn others_with_the_same_path_are_served_beside_it() {
+fn other_requests_with_the_same_path_are_served() {
     run(async {
-        let world = faulty().await;
+        let world = crashing_world().await;
         until_three(&world).await;
-        until_barred(&world, "known", SPOILED, 1).await;
+        until_barred(&world, "known", CRASHING_BODY, 1).await;
         for node in 0..world.pairs.len() {
             world.served(node, "browse", &format!("other-{node}")).await;
         }
     });
 }
 
-/// Sends a request as its caller does: again after a failure, and after a
-/// refusal when it was told to. The statuses of all attempts.
-async fn insist(world: &World, id: &str, body: &str) -> Vec<u16> {
+/// Sends a request and retries it after failures, with the delay of
+/// `Retry-After`. Returns the statuses of all attempts.
+async fn send_with_retries(world: &World, id: &str, body: &str) -> Vec<u16> {
     let mut statuses = Vec::new();
     for n in 0..8 {
         let id = format!("{id}-{n}");
@@ -188,46 +174,48 @@
         if answer.status == 200 {
             break;
         }
-        let told = answer.headers.get(http::header::RETRY_AFTER);
-        let told = told.and_then(|value| value.to_str().ok()?.parse().ok());
-        sleep(Duration::from_secs_f64(told.unwrap_or(0.0))).await;
+        let delay = answer.headers.get(http::header::RETRY_AFTER);
+        let delay = delay.and_then(|value| value.to_str().ok()?.parse().ok());
+        sleep(Duration::from_secs_f64(delay.unwrap_or(0.0))).await;
     }
     statuses
 }
 
 #[test]
-fn what_ran_beside_it_is_served_by_a_sibling() {
+fn requests_interrupted_by_the_crash_are_served_by_a_sibling() {
     run(async {
-        let world = faulty().await;
+        let world = crashing_world().await;
         for pair in &world.pairs {
             pair.instance.set_time(Duration::from_millis(60));
         }
-        let beside = (0..12).map(|n| {
+        let others = (0..12).map(|n| {
             let id = format!("beside-{n}");
             let world = &world;
-            async move { insist(world, &id, &format!("innocent {n}")).await }
+            async move {
+                send_with_retries(world, &id, &format!("innocent {n}")).await
+            }
         });
-        let fatal = world.send_body(0, "browse", "fatal", SPOILED);
+        let fatal = world.send_body(0, "browse", "fatal", CRASHING_BODY);
 
-        let (_, ends) =
-            tokio::join!(fatal, futures_util::future::join_all(beside));
+        let (_, statuses) =
+            tokio::join!(fatal, futures_util::future::join_all(others));
 
-        let served = |end: &Vec<u16>| end.last() == Some(&200);
-        assert!(ends.iter().all(served), "{ends:?}");
+        let served = |statuses: &Vec<u16>| statuses.last() == Some(&200);
+        assert!(statuses.iter().all(served), "{statuses:?}");
         assert!(!crashes(&world).is_empty());
     });
 }
 
 #[test]
-fn all_nodes_killed_at_once_learn_it_from_the_store() {
+fn nodes_all_killed_at_once_learn_of_barred_requests_from_the_store() {
     run(async {
-        let mut world = faulty().await;
+        let mut world = crashing_world().await;
         until_three(&world).await;
         until("the store keeps it", || async {
             world.store.suspects().len() == 1
         })
         .await;
-        whole_again(&world).await;
+        until_recovered(&world).await;
         for pair in &mut world.pairs {
             pair.node.kill();
         }
@@ -248,25 +236,20 @@
     });
 }
 
-// The store came back from a copy of before the crashes. No node wrote what it
-// knew once more, as each had written it; nodes that all began after that let
-// the request through to three more instances:
-//
-//     "event":"suspicion","step":"is barred","source":"own instance"
-//     "event":"era","from":1,"to":2
-//     "event":"start"      (and no line of the request)
+// A store restored from an older snapshot lacks evidence that nodes had already
+// written, and nodes that start afterwards would not learn of it.
 #[test]
-fn a_restored_store_is_told_again_what_ends_instances() {
+fn barred_requests_are_written_again_to_a_restored_store() {
     run(async {
-        let mut world = faulty().await;
+        let mut world = crashing_world().await;
         let copy = world.store.snapshot();
         until_three(&world).await;
-        until_barred(&world, "known", SPOILED, 1).await;
+        until_barred(&world, "known", CRASHING_BODY, 1).await;
         until("the store keeps it", || async {
             world.store.suspects().len() == 1
         })
         .await;
-        whole_again(&world).await;
+        until_recovered(&world).await;
 
         world.store.restore(&copy, Fate::Cut);
         until("the store keeps it again", || async {
@@ -281,9 +264,9 @@
             nodes.all(|node| {
                 let log = node.log();
                 let starts = log.match_indices("\"event\":\"start\"");
-                // The former life's lines stand there until the next begins.
-                let next = starts.map(|(at, _)| at).nth(1);
-                next.is_some_and(|life| log[life..].contains("is barred"))
+                // The log starts with the lines of the former process.
+                let restart = starts.map(|(at, _)| at).nth(1);
+                restart.is_some_and(|at| log[at..].contains("is barred"))
             })
         })
         .await;
@@ -296,27 +279,27 @@
 }
 
 #[test]
-fn links_tell_it_while_the_store_is_away() {
+fn links_carry_evidence_while_the_store_is_down() {
     run(async {
-        let world = faulty().await;
+        let world = crashing_world().await;
         world.store.set_down(true);
         let third = until_three(&world).await;
-        sleep(KNOWN_WITHIN).await;
+        sleep(PROPAGATION_TIMEOUT).await;
 
         resend(&world, "away", 40).await;
 
-        let late = arrivals_after(&world, third + KNOWN_WITHIN);
-        assert!(late <= REPEATS_MAX, "sent {late} times more");
+        let late = arrivals_after(&world, third + PROPAGATION_TIMEOUT);
+        assert!(late <= MAX_LATE_ARRIVALS, "sent {late} times more");
     });
 }
 
 #[test]
-fn a_node_restarted_while_the_store_is_away_learns_it_from_a_peer() {
+fn a_node_restarted_without_the_store_learns_of_barred_requests_from_a_peer() {
     run(async {
-        let mut world = faulty().await;
+        let mut world = crashing_world().await;
         until_three(&world).await;
-        until_barred(&world, "known", SPOILED, 1).await;
-        whole_again(&world).await;
+        until_barred(&world, "known", CRASHING_BODY, 1).await;
+        until_recovered(&world).await;
         world.store.set_down(true);
         world.pairs[2].node.restart();
         until("it has heard", || async {
@@ -332,25 +315,25 @@
 }
 
 #[test]
-fn a_node_that_stood_still_meanwhile_learns_it_when_it_goes_on() {
+fn a_stopped_node_learns_of_barred_requests_when_it_continues() {
     run(async {
-        let world = faulty().await;
+        let world = crashing_world().await;
         world.pairs[1].node.signal("STOP");
         until_three(&world).await;
         world.pairs[1].node.signal("CONT");
 
-        until_barred(&world, "thawed", SPOILED, 1).await;
+        until_barred(&world, "thawed", CRASHING_BODY, 1).await;
 
-        assert!(crashes(&world).len() <= CRASHES + REPEATS_MAX);
+        assert!(crashes(&world).len() <= CRASHES_TO_BAR + MAX_LATE_ARRIVALS);
     });
 }
 
 #[test]
-fn it_comes_to_all_nodes_at_the_same_moment_and_there_are_two_of_it() {
+fn two_such_requests_at_all_nodes_at_once_are_barred() {
     run(async {
-        let world = faulty().await;
+        let world = crashing_world().await;
         for pair in &world.pairs {
-            pair.instance.set_fault("other", DOWN);
+            pair.instance.set_fault("other", DOWNTIME);
         }
         let third = until_three(&world).await;
         let all = |name: &'static str, body: &'static str| {
@@ -359,7 +342,7 @@
             sends.collect::<Vec<_>>()
         };
         for round in 0..40 {
-            let mut both = all("one", SPOILED);
+            let mut both = all("one", CRASHING_BODY);
             both.extend(all("two", "other"));
             let sends = both.into_iter().map(|(node, name, body)| {
                 let id = format!("{name}-{round}-{node}");
@@ -372,61 +355,61 @@
             sleep(Duration::from_millis(100)).await;
         }
         until_barred(&world, "last", "other", 2).await;
-        let late = arrivals_after(&world, third + KNOWN_WITHIN);
-        assert!(late <= REPEATS_MAX, "sent {late} times more");
+        let late = arrivals_after(&world, third + PROPAGATION_TIMEOUT);
+        assert!(late <= MAX_LATE_ARRIVALS, "sent {late} times more");
     });
 }
 
 #[test]
-fn it_is_known_by_its_content_with_an_empty_body_and_a_long_one() {
+fn requests_with_an_empty_or_a_long_body_are_barred_by_content() {
     run(async {
-        let world = faulty().await;
+        let world = crashing_world().await;
         let long = "x".repeat(300_000);
         for (count, body) in [(1, ""), (2, long.as_str())] {
             for pair in &world.pairs {
-                pair.instance.set_fault(body, DOWN);
+                pair.instance.set_fault(body, DOWNTIME);
             }
             let before = crashes(&world).len();
             until_barred(&world, &format!("b{count}"), body, count).await;
-            let ended = crashes(&world).len() - before;
-            assert!((3..=6).contains(&ended), "{ended} ended");
+            let crashed = crashes(&world).len() - before;
+            assert!((3..=6).contains(&crashed), "{crashed} crashed");
         }
     });
 }
 
 #[test]
-fn an_order_that_ends_instances_is_refused_as_well() {
+fn a_request_that_may_run_once_and_crashes_instances_is_refused() {
     run(async {
-        let world = faulty().await;
+        let world = crashing_world().await;
         let mut n = 0;
         until("the order is refused", || {
             n += 1;
             let id = format!("order-{n}");
             let world = &world;
             async move {
-                let sent = world.send_body(n % 5, "order", &id, SPOILED);
+                let sent = world.send_body(n % 5, "order", &id, CRASHING_BODY);
                 let answer = sent.await;
                 assert!(world.runs(&id) <= 1);
                 answer.is_some_and(|answer| answer.body == "poisoned")
-                    && crashes(world).len() >= CRASHES
+                    && crashes(world).len() >= CRASHES_TO_BAR
             }
         })
         .await;
-        assert!(crashes(&world).len() <= CRASHES + REPEATS_MAX);
+        assert!(crashes(&world).len() <= CRASHES_TO_BAR + MAX_LATE_ARRIVALS);
     });
 }
 
 #[test]
-fn a_call_of_a_run_that_ends_what_it_reaches_is_refused_two_hops_down() {
+fn a_nested_call_that_crashes_instances_is_refused() {
     run(async {
-        let world = faulty().await;
+        let world = crashing_world().await;
         for pair in &world.pairs {
             pair.instance.hold("outer");
         }
         let outer = world.send(0, "browse", "outer");
         let calls = async {
             until("it runs", || async { world.runs("outer") > 0 }).await;
-            until_barred(&world, "outer.", SPOILED, 1).await;
+            until_barred(&world, "outer.", CRASHING_BODY, 1).await;
             for pair in &world.pairs {
                 pair.instance.release("outer");
             }
@@ -434,16 +417,16 @@
 
         let (_, ()) = tokio::join!(outer, calls);
 
-        assert!(crashes(&world).len() <= CRASHES + REPEATS_MAX);
+        assert!(crashes(&world).len() <= CRASHES_TO_BAR + MAX_LATE_ARRIVALS);
     });
 }
 
-/// A run that fails as its call has ended instances is not sent to a sibling,
-/// which would make the same call.
+/// A run that fails because its nested call crashed instances must not be
+/// retried on a sibling, which would make the same call.
 #[test]
-fn a_run_whose_call_ends_instances_is_not_repeated() {
+fn a_run_whose_nested_call_crashes_instances_is_not_retried() {
     run(async {
-        let world = faulty().await;
+        let world = crashing_world().await;
         let mut next = routes();
         next.push(route("visit", Effect::Idempotent, &[("front", 1)]));
         world.store.write_desired(&desired(2, &next));
@@ -457,7 +440,9 @@
         let calls = async {
             until("it runs", || async { world.runs("outer") == 1 }).await;
             let at = fronts.iter().position(|p| p.instance.runs("outer") == 1);
-            world.send_body(at.unwrap(), "browse", "outer.1", SPOILED).await;
+            world
+                .send_body(at.unwrap(), "browse", "outer.1", CRASHING_BODY)
+                .await;
             for pair in fronts {
                 pair.instance.release("outer");
             }
@@ -470,13 +455,12 @@
     });
 }
 
-/// Instances of a service ended at once while all of them ran a content that
-/// many callers send. It was refused by every node afterwards, 14,436 times in
-/// a soak of eight seconds, as if it had ended them.
+/// A content that many callers send runs on every instance, so it must not be
+/// barred when several instances crash at once.
 #[test]
 fn a_content_that_all_callers_send_is_served_after_three_crashes_at_once() {
     run(async {
-        let world = faulty().await;
+        let world = crashing_world().await;
         for pair in &world.pairs[2..] {
             pair.instance.set_time(Duration::from_millis(80));
         }
@@ -496,7 +480,7 @@
         };
         tokio::join!(futures_util::future::join_all(shared), crash);
 
-        whole_again(&world).await;
+        until_recovered(&world).await;
 
         let mut logs = world.pairs.iter().map(|pair| pair.node.log());
         assert!(logs.all(|log| !log.contains("is barred")));
