--- a/crates/walnutmoor/src/mesh/quotas.rs
+++ b/crates/walnutmoor/src/mesh/quotas.rs
@@ -81,7 +81,7 @@
     /// The number of nodes reported by peers.
     reported_size: Cell<usize>,
     fleet: Cell<Fleet>,
-    last: Cell<u64>,
+    last_request: Cell<u64>,
     /// Requests that were decided without an allocator.
     local_decisions: Cell<u64>,
     /// Requests that were refused as over quota.
@@ -100,7 +100,7 @@
             directory_size: Cell::new(0),
             reported_size: Cell::new(0),
             fleet: Cell::default(),
-            last: Cell::new(0),
+            last_request: Cell::new(0),
             local_decisions: Cell::new(0),
             refusals: Cell::new(0),
         }
@@ -118,7 +118,7 @@
     }
 
     /// The number of nodes in the fleet; 0 if it is not known.
-    pub(super) fn known(&self) -> usize {
+    pub(super) fn fleet_size(&self) -> usize {
         self.directory_size.get().max(self.reported_size.get())
     }
 
@@ -236,8 +236,8 @@
 
     async fn decide(self: &Rc<State>, account: &Account) -> Verdict {
         let quotas = &self.quotas;
-        let id = CallId(quotas.last.get() + 1);
-        quotas.last.set(id.0);
+        let id = CallId(quotas.last_request.get() + 1);
+        quotas.last_request.set(id.0);
         let name = &account.name;
         let decision =
             quotas.leases.borrow_mut().acquire(self.now(), name, id);
@@ -370,12 +370,12 @@
     }
 
     /// Updates the view of the fleet from the links. `paused` is true if this
-    /// process was suspended since the last update.
+    /// process was suspended since the last_request update.
     pub(super) fn update_fleet(&self, paused: bool) {
         let now = self.now();
         let quotas = &self.quotas;
         let links = self.links();
-        let known = match quotas.known() {
+        let known = match quotas.fleet_size() {
             0 => 0,
             known => known.max(links.len() + 1),
         };
--- a/crates/walnutmoor/src/mesh/state.rs
+++ b/crates/walnutmoor/src/mesh/state.rs
@@ -236,7 +236,7 @@
             era: self.eras.last(),
             load: self.serve.load(self.now()),
             known: self.sample_known(),
-            fleet: self.quotas.known(),
+            fleet: self.quotas.fleet_size(),
         }
     }
 
--- a/crates/walnutmoor/src/mesh/store/directory.rs
+++ b/crates/walnutmoor/src/mesh/store/directory.rs
@@ -122,7 +122,7 @@
     if state.now() < YOUNG {
         return CHECK_MIN;
     }
-    let fleet = state.quotas.known() as u64;
+    let fleet = state.quotas.fleet_size() as u64;
     Millis(fleet * 1_000 / CHECKS_A_SECOND).max(CHECK_MIN)
 }
 
--- a/crates/walnutmoor/tests/mesh/poison.rs
+++ b/crates/walnutmoor/tests/mesh/poison.rs
@@ -65,7 +65,7 @@
 }
 
 /// Sends the request until three instances have crashed.
-async fn until_three(world: &World) -> Instant {
+async fn until_three_crashes(world: &World) -> Instant {
     let mut n = 0;
     until("three instances have crashed", || {
         n += 1;
@@ -83,7 +83,7 @@
 fn a_request_that_crashed_three_instances_reaches_no_more_of_them() {
     run(async {
         let world = crashing_world().await;
-        let third = until_three(&world).await;
+        let third = until_three_crashes(&world).await;
         sleep(PROPAGATION_TIMEOUT).await;
 
         resend(&world, "again", 150).await;
@@ -124,7 +124,7 @@
 fn a_refused_request_does_not_run_and_gets_a_retry_after() {
     run(async {
         let world = crashing_world().await;
-        until_three(&world).await;
+        until_three_crashes(&world).await;
         until_barred(&world, "known", CRASHING_BODY, 1).await;
         let before = crashes(&world).len();
 
@@ -155,7 +155,7 @@
 fn other_requests_with_the_same_path_are_served() {
     run(async {
         let world = crashing_world().await;
-        until_three(&world).await;
+        until_three_crashes(&world).await;
         until_barred(&world, "known", CRASHING_BODY, 1).await;
         for node in 0..world.pairs.len() {
             world.served(node, "browse", &format!("other-{node}")).await;
@@ -210,7 +210,7 @@
 fn nodes_all_killed_at_once_learn_of_barred_requests_from_the_store() {
     run(async {
         let mut world = crashing_world().await;
-        until_three(&world).await;
+        until_three_crashes(&world).await;
         until("the store keeps it", || async {
             world.store.suspects().len() == 1
         })
@@ -236,14 +236,14 @@
     });
 }
 
-// A store restored from an older snapshot lacks evidence that nodes had already
-// written, and nodes that start afterwards would not learn of it.
+/// A store restored from an older snapshot lacks evidence that nodes have
+/// already written, and nodes that start later would not learn of it.
 #[test]
 fn barred_requests_are_written_again_to_a_restored_store() {
     run(async {
         let mut world = crashing_world().await;
         let copy = world.store.snapshot();
-        until_three(&world).await;
+        until_three_crashes(&world).await;
         until_barred(&world, "known", CRASHING_BODY, 1).await;
         until("the store keeps it", || async {
             world.store.suspects().len() == 1
@@ -283,7 +283,7 @@
     run(async {
         let world = crashing_world().await;
         world.store.set_down(true);
-        let third = until_three(&world).await;
+        let third = until_three_crashes(&world).await;
         sleep(PROPAGATION_TIMEOUT).await;
 
         resend(&world, "away", 40).await;
@@ -297,7 +297,7 @@
 fn a_node_restarted_without_the_store_learns_of_barred_requests_from_a_peer() {
     run(async {
         let mut world = crashing_world().await;
-        until_three(&world).await;
+        until_three_crashes(&world).await;
         until_barred(&world, "known", CRASHING_BODY, 1).await;
         until_recovered(&world).await;
         world.store.set_down(true);
@@ -319,7 +319,7 @@
     run(async {
         let world = crashing_world().await;
         world.pairs[1].node.signal("STOP");
-        until_three(&world).await;
+        until_three_crashes(&world).await;
         world.pairs[1].node.signal("CONT");
 
         until_barred(&world, "thawed", CRASHING_BODY, 1).await;
@@ -335,7 +335,7 @@
         for pair in &world.pairs {
             pair.instance.set_fault("other", DOWNTIME);
         }
-        let third = until_three(&world).await;
+        let third = until_three_crashes(&world).await;
         let all = |name: &'static str, body: &'static str| {
             let nodes = 0..world.pairs.len();
             let sends = nodes.map(move |node| (node, name, body));
