--- a/crates/walnutmoor/src/http1/body.rs
+++ b/crates/walnutmoor/src/http1/body.rs
@@ -1,5 +1,5 @@
 /*!
-The framing of bodies: by a length or in chunks.
+The framing of request bodies: by content length or in chunks.
 */
 
 use bytes::{Bytes, BytesMut};
@@ -7,32 +7,34 @@
 
 use super::Error;
 
-/// The longest line with the size of a chunk. Sizes take 16 digits at most;
-/// the rest is room for extensions, which are passed over.
-const SIZE_LINE_MAX: usize = 256;
+/// Maximum length of a chunk size line, including its line end. It leaves room
+/// for chunk extensions, which are ignored.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
 
-/// Bytes of trailers at most; they are passed over.
-const TRAILERS_MAX: usize = 4_096;
+/// Maximum size of the trailers, which are ignored.
+const MAX_TRAILER_BYTES: usize = 4_096;
 
-/// Digits of a chunk's size at most; more would not fit a number.
-const SIZE_DIGITS_MAX: usize = 15;
+/// Maximum number of hexadecimal digits in a chunk size, so that it fits in 64
+/// bits.
+const MAX_CHUNK_SIZE_DIGITS: usize = 15;
 
 /// How a body is framed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Framing {
-    /// So many bytes follow the head; none if there is no body.
+    /// This many bytes follow the head; 0 if there is no body.
     Length(u64),
-    /// In chunks, each behind its size.
+    /// The chunked transfer coding.
     Chunked,
 }
 
 impl Framing {
-    /// The framing that headers tell of.
+    /// Determines the framing from the headers.
     ///
     /// # Errors
     ///
-    /// If they tell of none that is known, or of more than one.
-    pub fn of(headers: &HeaderMap) -> Result<Framing, Error> {
+    /// If the transfer coding is not supported, the length is invalid, or
+    /// there is more than one of these headers.
+    pub fn from_headers(headers: &HeaderMap) -> Result<Framing, Error> {
         let mut lengths = headers.get_all(header::CONTENT_LENGTH).iter();
         let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
         let first = (lengths.next(), codings.next());
@@ -54,7 +56,7 @@
 
 fn parse_length(value: &HeaderValue) -> Result<Framing, Error> {
     let text = value.to_str().map_err(|_| Error::Malformed)?;
-    // A sign would be taken by the parser of numbers.
+    // The number parser accepts a leading sign, which is not allowed here.
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(Error::Malformed);
     }
@@ -62,29 +64,29 @@
     Ok(Framing::Length(length))
 }
 
-/// What comes next of a body.
+/// The result of decoding the next part of a body.
 #[derive(Debug)]
 pub(super) enum Step {
-    /// Some of it.
+    /// Some bytes of the body; never empty.
     Data(Bytes),
-    /// Nothing; it is whole.
+    /// The body is complete.
     End,
     /// More bytes are needed.
-    Wait,
+    Incomplete,
 }
 
-/// The place in a body.
+/// The state of the body decoder.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Body {
-    /// So many bytes are left.
+    /// This many bytes of the body are left.
     Length(u64),
-    /// A line with the size of a chunk is due.
-    Size,
-    /// So many bytes of a chunk are left.
-    Chunk(u64),
-    /// The end of a chunk's line is due.
+    /// A chunk size line follows.
+    ChunkSize,
+    /// This many bytes of the chunk are left.
+    ChunkData(u64),
+    /// The line end after the chunk data follows.
     ChunkEnd,
-    /// Trailers are due, of which so many bytes have come.
+    /// Trailers follow; this many bytes of them were read.
     Trailers(usize),
 }
 
@@ -92,11 +94,11 @@
     pub(super) fn new(framing: Framing) -> Body {
         match framing {
             Framing::Length(length) => Body::Length(length),
-            Framing::Chunked => Body::Size,
+            Framing::Chunked => Body::ChunkSize,
         }
     }
 
-    /// Takes what there is of the body off the front of a buffer.
+    /// Removes the next part of the body from the front of the buffer.
     pub(super) fn step(
         &mut self,
         bytes: &mut BytesMut,
@@ -107,27 +109,29 @@
                 Body::Length(left) => {
                     let data = take(bytes, left);
                     *self = Body::Length(left - data.len() as u64);
-                    return Ok(data_or_wait(data));
+                    return Ok(data_or_incomplete(data));
                 }
-                Body::Size => match line(bytes, SIZE_LINE_MAX)? {
-                    None => return Ok(Step::Wait),
-                    Some(line) => *self = chunk(&line)?,
-                },
-                Body::Chunk(0) => *self = Body::ChunkEnd,
-                Body::Chunk(left) => {
+                Body::ChunkSize => {
+                    match read_line(bytes, MAX_CHUNK_LINE_BYTES)? {
+                        None => return Ok(Step::Incomplete),
+                        Some(line) => *self = parse_chunk_size(&line)?,
+                    }
+                }
+                Body::ChunkData(0) => *self = Body::ChunkEnd,
+                Body::ChunkData(left) => {
                     let data = take(bytes, left);
-                    *self = Body::Chunk(left - data.len() as u64);
-                    return Ok(data_or_wait(data));
+                    *self = Body::ChunkData(left - data.len() as u64);
+                    return Ok(data_or_incomplete(data));
                 }
-                Body::ChunkEnd => match line(bytes, 2)? {
-                    None => return Ok(Step::Wait),
-                    Some(line) if line.is_empty() => *self = Body::Size,
+                Body::ChunkEnd => match read_line(bytes, 2)? {
+                    None => return Ok(Step::Incomplete),
+                    Some(line) if line.is_empty() => *self = Body::ChunkSize,
                     Some(_) => return Err(Error::Malformed),
                 },
                 Body::Trailers(read) => {
-                    let left = TRAILERS_MAX.saturating_sub(read);
-                    match line(bytes, left)? {
-                        None => return Ok(Step::Wait),
+                    let left = MAX_TRAILER_BYTES.saturating_sub(read);
+                    match read_line(bytes, left)? {
+                        None => return Ok(Step::Incomplete),
                         Some(line) if line.is_empty() => {
                             *self = Body::Length(0);
                         }
@@ -141,29 +145,34 @@
     }
 }
 
-fn data_or_wait(data: Bytes) -> Step {
+fn data_or_incomplete(data: Bytes) -> Step {
     match data.is_empty() {
-        true => Step::Wait,
+        true => Step::Incomplete,
         false => Step::Data(data),
     }
 }
 
-fn take(bytes: &mut BytesMut, most: u64) -> Bytes {
-    let most = usize::try_from(most).unwrap_or(usize::MAX);
-    bytes.split_to(bytes.len().min(most)).freeze()
+fn take(bytes: &mut BytesMut, max_len: u64) -> Bytes {
+    let max_len = usize::try_from(max_len).unwrap_or(usize::MAX);
+    bytes.split_to(bytes.len().min(max_len)).freeze()
 }
 
-/// The next line, without its end; `None` if it is not whole yet.
-fn line(bytes: &mut BytesMut, most: usize) -> Result<Option<Bytes>, Error> {
+/// Removes the next line from the buffer and returns it without its line end;
+/// `None` if it is incomplete. A line may have `max_len` bytes with its line
+/// end.
+fn read_line(
+    bytes: &mut BytesMut,
+    max_len: usize,
+) -> Result<Option<Bytes>, Error> {
     let Some(end) = bytes.iter().position(|byte| *byte == b'\n') else {
-        return match bytes.len() > most {
+        return match bytes.len() > max_len {
             true => Err(Error::Malformed),
             false => Ok(None),
         };
     };
     let line = bytes.split_to(end + 1).freeze();
     let line = match line.strip_suffix(b"\r\n") {
-        Some(text) if line.len() <= most => line.slice_ref(text),
+        Some(text) if line.len() <= max_len => line.slice_ref(text),
         _ => return Err(Error::Malformed),
     };
     match line.contains(&b'\r') {
@@ -172,18 +181,18 @@
     }
 }
 
-/// What follows a line with a size.
-fn chunk(line: &[u8]) -> Result<Body, Error> {
+/// Parses a chunk size line and returns the state that follows.
+fn parse_chunk_size(line: &[u8]) -> Result<Body, Error> {
     let text = std::str::from_utf8(line).map_err(|_| Error::Malformed)?;
     let (size, _) = text.split_once(';').unwrap_or((text, ""));
     let size = size.trim_end_matches([' ', '\t']);
     let is_hex = size.bytes().all(|byte| byte.is_ascii_hexdigit());
-    if size.is_empty() || size.len() > SIZE_DIGITS_MAX || !is_hex {
+    if size.is_empty() || size.len() > MAX_CHUNK_SIZE_DIGITS || !is_hex {
         return Err(Error::Malformed);
     }
     match u64::from_str_radix(size, 16) {
         Ok(0) => Ok(Body::Trailers(0)),
-        Ok(size) => Ok(Body::Chunk(size)),
+        Ok(size) => Ok(Body::ChunkData(size)),
         Err(_) => Err(Error::Malformed),
     }
 }
--- a/crates/walnutmoor/src/http1/encode.rs
+++ b/crates/walnutmoor/src/http1/encode.rs
@@ -1,27 +1,26 @@
 /*!
-Answers to bytes.
+The encoding of responses.
 */
 
 use bytes::{BufMut, Bytes, BytesMut};
 use http::{Method, Response, StatusCode, header};
 
-/// Tells a caller to send the body that it holds back.
+/// The interim response that asks a client to send the request body.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Room for the status line and common headers; longer heads grow it.
+/// Initial capacity for the status line and common headers.
 const HEAD_CAPACITY: usize = 512;
 
-/// The head of an answer to a request with this method, and the body that
-/// follows it. `closes` tells the caller that the connection ends with it.
+/// Encodes the response to a request with this method as its head and the body
+/// that follows. `closes` adds `Connection: close`.
 ///
-/// Headers that frame a body are set here and must not be among those of the
-/// answer.
+/// The response must not have headers that frame a body; they are set here.
 pub fn encode(
-    answer: Response<Bytes>,
+    response: Response<Bytes>,
     method: &Method,
     closes: bool,
 ) -> (Bytes, Bytes) {
-    let (parts, mut body) = answer.into_parts();
+    let (parts, mut body) = response.into_parts();
     let mut head = BytesMut::with_capacity(HEAD_CAPACITY);
     head.put_slice(b"HTTP/1.1 ");
     head.put_slice(parts.status.as_str().as_bytes());
@@ -30,29 +29,29 @@
     head.put_slice(reason.as_bytes());
     head.put_slice(b"\r\n");
     for (name, value) in &parts.headers {
-        line(&mut head, name.as_str(), value.as_bytes());
+        put_header(&mut head, name.as_str(), value.as_bytes());
     }
     if closes {
-        line(&mut head, header::CONNECTION.as_str(), b"close");
+        put_header(&mut head, header::CONNECTION.as_str(), b"close");
     }
-    if method == Method::HEAD || is_bare(parts.status) {
+    if method == Method::HEAD || has_no_body(parts.status) {
         body = Bytes::new();
     } else {
         let length = body.len().to_string();
         let name = header::CONTENT_LENGTH;
-        line(&mut head, name.as_str(), length.as_bytes());
+        put_header(&mut head, name.as_str(), length.as_bytes());
     }
     head.put_slice(b"\r\n");
     (head.freeze(), body)
 }
 
-/// True if answers with this status have no body.
-fn is_bare(status: StatusCode) -> bool {
-    let bare = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED];
-    status.is_informational() || bare.contains(&status)
+/// True if responses with this status have no body.
+fn has_no_body(status: StatusCode) -> bool {
+    let bodiless = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED];
+    status.is_informational() || bodiless.contains(&status)
 }
 
-fn line(head: &mut BytesMut, name: &str, value: &[u8]) {
+fn put_header(head: &mut BytesMut, name: &str, value: &[u8]) {
     head.put_slice(name.as_bytes());
     head.put_slice(b": ");
     head.put_slice(value);
--- a/crates/walnutmoor/src/http1/head.rs
+++ b/crates/walnutmoor/src/http1/head.rs
@@ -1,8 +1,8 @@
 /*!
-The request line and the headers.
+The request line and the headers of a request.
 
-`httparse` reads them; what it forgives (bare line feeds) and what it does not
-look at (framing, the number of hosts) is checked here.
+`httparse` parses them. What it accepts leniently (bare line feeds) and what it
+does not check (framing, the `Host` header) is checked here.
 */
 
 use bytes::Bytes;
@@ -10,8 +10,8 @@
 
 use super::{Error, body::Framing};
 
-/// Headers that a request may have. Common servers allow about as many.
-const HEADERS_MAX: usize = 100;
+/// Maximum number of headers of a request.
+const MAX_HEADERS: usize = 100;
 
 /// The head of a request.
 #[derive(Clone, Debug)]
@@ -20,24 +20,24 @@
     pub method: Method,
     /// The request target.
     pub uri: Uri,
-    /// The headers, in the order in which they came.
+    /// The headers, in the order received.
     pub headers: HeaderMap,
     /// How the body is framed.
     pub framing: Framing,
-    /// True if the sender waits to be told to send the body.
-    pub expects: bool,
-    /// True if the sender wants the connection closed after the answer.
+    /// True if the client sent `Expect: 100-continue`.
+    pub expects_continue: bool,
+    /// True if the connection is to be closed after the response.
     pub closes: bool,
 }
 
-/// Reads a whole head, with the empty line that ends it.
+/// Parses a complete head, including the empty line that ends it.
 ///
 /// # Errors
 ///
-/// If it breaks the protocol or has too many headers.
+/// If the head is malformed or has too many headers.
 pub(super) fn parse(bytes: &Bytes) -> Result<Head, Error> {
     check_lines(bytes)?;
-    let mut slots = [httparse::EMPTY_HEADER; HEADERS_MAX];
+    let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut slots);
     match request.parse(bytes) {
         Ok(httparse::Status::Complete(end)) if end == bytes.len() => {}
@@ -49,42 +49,43 @@
     let method = request.method.unwrap_or_default();
     let target = request.path.unwrap_or_default();
     let target = bytes.slice_ref(target.as_bytes());
-    let is_old = request.version != Some(1);
-    let headers = headers(bytes, request.headers)?;
-    check_host(&headers, is_old)?;
+    let is_http_1_0 = request.version != Some(1);
+    let headers = header_map(bytes, request.headers)?;
+    check_host(&headers, is_http_1_0)?;
     let uri = Uri::from_maybe_shared(target).map_err(|_| Error::Malformed)?;
-    // A target that is only an authority is for tunnels.
+    // Rejects the authority and asterisk forms of the request target.
     if !uri.path().starts_with('/') {
         return Err(Error::Malformed);
     }
-    let framing = Framing::of(&headers)?;
-    if is_old && framing == Framing::Chunked {
+    let framing = Framing::from_headers(&headers)?;
+    if is_http_1_0 && framing == Framing::Chunked {
         return Err(Error::Malformed);
     }
     Ok(Head {
         method: method.parse().map_err(|_| Error::Malformed)?,
         uri,
         framing,
-        expects: is(&headers, &header::EXPECT, "100-continue"),
-        closes: is_old || is(&headers, &header::CONNECTION, "close"),
+        expects_continue: has_token(&headers, &header::EXPECT, "100-continue"),
+        closes: is_http_1_0
+            || has_token(&headers, &header::CONNECTION, "close"),
         headers,
     })
 }
 
-/// Every line ends with a carriage return and a line feed, and neither
-/// stands alone: readers differ in what they take a lone one for.
+/// Checks that carriage returns and line feeds occur only in pairs. Parsers
+/// differ in how they treat a single one.
 fn check_lines(bytes: &[u8]) -> Result<(), Error> {
-    let mut last = 0;
+    let mut previous = 0;
     for &byte in bytes {
-        if (byte == b'\n') != (last == b'\r') {
+        if (byte == b'\n') != (previous == b'\r') {
             return Err(Error::Malformed);
         }
-        last = byte;
+        previous = byte;
     }
     Ok(())
 }
 
-fn headers(
+fn header_map(
     bytes: &Bytes,
     fields: &[httparse::Header<'_>],
 ) -> Result<HeaderMap, Error> {
@@ -101,19 +102,19 @@
     Ok(map)
 }
 
-/// A request names one host; the oldest version need not name any.
-fn check_host(headers: &HeaderMap, is_old: bool) -> Result<(), Error> {
+/// Checks that there is exactly one `Host` header; HTTP/1.0 may omit it.
+fn check_host(headers: &HeaderMap, is_http_1_0: bool) -> Result<(), Error> {
     match headers.get_all(header::HOST).iter().count() {
         1 => Ok(()),
-        0 if is_old => Ok(()),
+        0 if is_http_1_0 => Ok(()),
         _ => Err(Error::Malformed),
     }
 }
 
-/// True if a header lists this word.
-fn is(headers: &HeaderMap, name: &HeaderName, word: &str) -> bool {
+/// True if a header contains this token in its comma-separated list.
+fn has_token(headers: &HeaderMap, name: &HeaderName, token: &str) -> bool {
     let values = headers.get_all(name).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
-    let mut words = texts.flat_map(|text| text.split(','));
-    words.any(|w| w.trim().eq_ignore_ascii_case(word))
+    let mut tokens = texts.flat_map(|text| text.split(','));
+    tokens.any(|t| t.trim().eq_ignore_ascii_case(token))
 }
--- a/crates/walnutmoor/src/http1/mod.rs
+++ b/crates/walnutmoor/src/http1/mod.rs
@@ -1,22 +1,21 @@
 /*!
-HTTP/1 as a server speaks it, without IO.
+A server-side HTTP/1 codec without I/O.
 
-What for: a caller may send further requests on a connection before the first
-is answered. A server that reads the next head only once the last answer is
-written serves them one at a time, so the reader of requests must not depend
-on the writer of answers. [`Decoder`] turns bytes into requests, however they
-are split; [`encode`] turns an answer into bytes. Neither knows of sockets.
+A client may pipeline requests, so requests must be read independently of the
+responses that are written. [`Decoder`] turns bytes into requests, however the
+bytes are split, and [`encode`] turns a response into bytes. Neither performs
+I/O.
 
-Framing is strict, since a request that is framed in two ways may smuggle
-another: conflicting or repeated lengths, a length beside a transfer coding,
-bare line feeds, folded headers and odd chunk sizes end the connection.
+Framing is strict, to rule out request smuggling: conflicting or repeated
+lengths, a length together with a transfer coding, bare line feeds, folded
+headers and invalid chunk sizes are errors that end the connection.
 
 | module | job |
 |---|---|
 | [`head`] | the request line and the headers |
 | [`body`] | the framing of bodies |
-| [`decoder`] | bytes to requests |
-| [`mod@encode`] | answers to bytes |
+| [`decoder`] | decodes requests |
+| [`mod@encode`] | encodes responses |
 
 # Example
 
@@ -41,13 +40,13 @@
 pub use encode::{CONTINUE, encode};
 pub use head::Head;
 
-/// Why bytes are no request.
+/// Why a request could not be decoded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// They break the protocol, or may be read in two ways.
+    /// The request violates the protocol, or its framing is ambiguous.
     #[error("malformed request")]
     Malformed,
-    /// The head has more bytes or headers than are allowed.
+    /// The head has more bytes or headers than the limits allow.
     #[error("request head too large")]
     HeadTooLarge,
 }
--- a/crates/walnutmoor/src/mesh/belief.rs
+++ b/crates/walnutmoor/src/mesh/belief.rs
@@ -125,7 +125,7 @@
             ("sequence", known.sequence.into()),
             ("source", source.into()),
         ];
-        state.journal.change(state.now(), Event::Instance, &fields);
+        state.journal.log_event(state.now(), Event::Instance, &fields);
     }
 
     pub(super) fn instance(&self) -> String {
@@ -139,7 +139,7 @@
         self.bulkhead.borrow_mut().close();
         if !self.suspended.replace(true) {
             let fields = [("why", "no connection".into())];
-            state.journal.change(state.now(), Event::Lost, &fields);
+            state.journal.log_event(state.now(), Event::Lost, &fields);
             tokio::task::spawn_local(resume(state.clone()));
         }
         state.announce();
--- a/crates/walnutmoor/src/mesh/control.rs
+++ b/crates/walnutmoor/src/mesh/control.rs
@@ -110,7 +110,7 @@
 /// stays as it is.
 fn refuse(state: &State, why: String) -> Response<Full<Bytes>> {
     let fields = [("why", why.into())];
-    state.journal.change(state.now(), Event::Fault, &fields);
+    state.journal.log_event(state.now(), Event::Fault, &fields);
     reply(StatusCode::BAD_REQUEST, "")
 }
 
--- a/crates/walnutmoor/src/mesh/crash.rs
+++ b/crates/walnutmoor/src/mesh/crash.rs
@@ -134,7 +134,7 @@
             ("ran", ran.len().into()),
             ("fingerprints", named.collect::<Vec<_>>().into()),
         ];
-        state.journal.change(now, Event::Crash, &fields);
+        state.journal.log_event(now, Event::Crash, &fields);
         state.accuse(Crash::from(lifetime), &ran);
     }
 
--- a/crates/walnutmoor/src/mesh/desired.rs
+++ b/crates/walnutmoor/src/mesh/desired.rs
@@ -1,9 +1,10 @@
 /*!
-The desired state that this node has, and how it comes by a newer one.
+The active desired state of this node, and the adoption of newer ones.
 
-A node that watches the store has it from there and tells all others. The
-others ask a peer that told them for it. A process never goes back to an older
-one, by the order of `walnutmoor_core::edition`.
+A node that watches the store receives changes from it and announces them to
+all other nodes. The others fetch the change from a peer that announced it.
+A process never goes back to an older state in the order defined by
+`walnutmoor_core::edition`.
 */
 
 use std::{
@@ -25,7 +26,7 @@
 
 use super::{frame::Frame, journal::Event, state::State};
 
-/// Where a desired state comes from.
+/// The origin of a desired state.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Source {
     /// The store.
@@ -43,18 +44,18 @@
     }
 }
 
-/// How long a node that the store did not answer takes itself to be cut off
-/// from it. Until then it leaves the watch to others of its zone.
-const UNABLE: Millis = Millis(5_000);
+/// How long a node counts the store as unreachable after a failed call.
+/// Meanwhile it leaves the watch to other nodes of its zone.
+const STORE_UNREACHABLE_HOLD: Millis = Millis(5_000);
 
-/// How long a node that begins waits for its links to open before it takes
-/// what the store holds.
-const HEAR_WITHIN: Millis = Millis(200);
+/// How long a starting node waits for its links to open before it adopts the
+/// state read from the store.
+const LINK_WAIT: Millis = Millis(200);
 
-/// How long it waits for a newer one that a peer has told of.
-const FETCH_WITHIN: Millis = Millis(1_000);
+/// How long a starting node waits for a newer state that a peer has announced.
+const FETCH_WAIT: Millis = Millis(1_000);
 
-/// What a node has of the desired state.
+/// The desired state of a node, and what it knows about newer ones.
 #[derive(Debug)]
 pub(super) struct Desired {
     table: RefCell<Option<Rc<Table>>>,
@@ -63,12 +64,12 @@
     catch_up: RefCell<CatchUp>,
     /// Whether this node watches the desired state at the store.
     pub(super) watches: Cell<bool>,
-    /// Until when the store is taken to be out of reach.
-    unable_until: Cell<Millis>,
+    /// Until when the store counts as unreachable.
+    store_unreachable_until: Cell<Millis>,
 }
 
 impl Default for Desired {
-    /// None was read yet; this node watches for it.
+    /// No desired state yet; the node watches the store for one.
     fn default() -> Desired {
         Desired {
             table: RefCell::new(None),
@@ -76,14 +77,14 @@
             raw: RefCell::new(Bytes::new()),
             catch_up: RefCell::new(CatchUp::new()),
             watches: Cell::new(true),
-            unable_until: Cell::new(Millis(0)),
+            store_unreachable_until: Cell::new(Millis(0)),
         }
     }
 }
 
-/// Reads a desired state. What is kept of it and told to others has digests
-/// in the place of keys.
-fn read(raw: Bytes) -> Result<(Table, Bytes), Error> {
+/// Decodes a desired state. The returned bytes, which are kept and sent to
+/// peers, hold digests in place of account keys.
+fn decode(raw: Bytes) -> Result<(Table, Bytes), Error> {
     let table = desired::decode(&raw)?;
     let raw = match table.accounts.is_empty() {
         true => raw,
@@ -93,46 +94,48 @@
 }
 
 impl State {
-    /// The table in force.
+    /// The active table; `None` before the first desired state.
     pub fn table(&self) -> Option<Rc<Table>> {
         self.desired.table.borrow().clone()
     }
 
-    /// The edition in force.
+    /// The edition of the active desired state.
     pub fn edition(&self) -> Edition {
         self.desired.edition.get()
     }
 
-    /// The desired state as the store holds it, for peers that lack it.
-    pub fn desired(&self) -> Option<Frame> {
+    /// The frame that sends the active desired state to a peer; `None` if
+    /// there is none yet.
+    pub fn desired_frame(&self) -> Option<Frame> {
         let raw = self.desired.raw.borrow().clone();
         (!raw.is_empty()).then(|| Frame::Desired(self.edition().stamp, raw))
     }
 
-    /// Puts a desired state in force, unless it is no newer than the one
-    /// that is: a process never goes back.
+    /// Activates a desired state if it is newer than the active one.
+    ///
+    /// A state that cannot be decoded is logged and ignored.
     pub fn adopt(&self, stamp: Stamp, raw: Bytes, source: Source) {
-        // A restored store gives revisions out again, so they don't tell by
-        // themselves which of two states is newer.
+        // A restored store assigns revisions again, so a revision alone does
+        // not order two states.
         let offered = match desired::version(&raw) {
             Ok(version) => Edition { version, stamp },
-            Err(error) => return self.note_unreadable(&error),
+            Err(error) => return self.log_undecodable(&error),
         };
         if offered <= self.edition() {
-            return self.note_passed_over(offered);
+            return self.log_outdated(offered);
         }
-        let (table, raw) = match read(raw) {
-            Ok(read) => read,
-            Err(error) => return self.note_unreadable(&error),
+        let (table, raw) = match decode(raw) {
+            Ok(decoded) => decoded,
+            Err(error) => return self.log_undecodable(&error),
         };
         self.desired.edition.set(offered);
-        self.note_adopted(offered, &table, source);
-        // The operator wrote the same again, as a restored store had lost it.
+        self.log_adopted(offered, &table, source);
+        // After a restore the operator may write the same content again.
         if *self.desired.raw.borrow() != raw {
-            self.put_in_force(table, raw);
+            self.activate(table, raw);
         }
-        // Those that watch tell all others. If the others told all in turn,
-        // a change would cost the square of the fleet.
+        // Only watchers announce a change. If every node did, the cost would
+        // be quadratic in the number of nodes.
         if source == Source::Store || self.desired.watches.get() {
             for link in self.links() {
                 link.send(Frame::Ping(offered));
@@ -140,15 +143,15 @@
         }
     }
 
-    fn put_in_force(&self, table: Table, raw: Bytes) {
-        self.audit_keys(&table.accounts);
+    fn activate(&self, table: Table, raw: Bytes) {
+        self.log_key_changes(&table.accounts);
         self.renew_quotas(&table.accounts);
         *self.desired.table.borrow_mut() = Some(Rc::new(table));
         *self.desired.raw.borrow_mut() = raw;
         self.splitter.borrow_mut().reset();
     }
 
-    fn note_adopted(&self, edition: Edition, table: &Table, source: Source) {
+    fn log_adopted(&self, edition: Edition, table: &Table, source: Source) {
         let fields = [
             ("era", edition.stamp.era.0.into()),
             ("revision", edition.stamp.revision.0.into()),
@@ -156,20 +159,20 @@
             ("routes", table.routes().count().into()),
             ("source", source.as_str().into()),
         ];
-        self.journal.change(self.now(), Event::Desired, &fields);
+        self.journal.log_event(self.now(), Event::Desired, &fields);
     }
 
-    fn note_unreadable(&self, error: &Error) {
+    fn log_undecodable(&self, error: &Error) {
         metrics::counter!("walnutmoor_desired_refused_total").increment(1);
         let fields = [("why", error.to_string().into())];
-        self.journal.change(self.now(), Event::Fault, &fields);
+        self.journal.log_event(self.now(), Event::Fault, &fields);
     }
 
-    /// Logs a desired state that is not put in force as it is older, with
-    /// what both are ordered by.
-    fn note_passed_over(&self, offered: Edition) {
-        let in_force = self.edition();
-        if offered.version == in_force.version {
+    /// Logs a desired state that is ignored as outdated, with the editions of
+    /// both states.
+    fn log_outdated(&self, offered: Edition) {
+        let active = self.edition();
+        if offered.version == active.version {
             return;
         }
         metrics::counter!("walnutmoor_desired_passed_over_total").increment(1);
@@ -178,64 +181,66 @@
             ("era", offered.stamp.era.0.into()),
             ("revision", offered.stamp.revision.0.into()),
             ("version", offered.version.0.into()),
-            ("era_in_force", in_force.stamp.era.0.into()),
-            ("revision_in_force", in_force.stamp.revision.0.into()),
-            ("version_in_force", in_force.version.0.into()),
+            ("era_in_force", active.stamp.era.0.into()),
+            ("revision_in_force", active.stamp.revision.0.into()),
+            ("version_in_force", active.version.0.into()),
         ];
-        self.journal.change(self.now(), Event::Desired, &fields);
+        self.journal.log_event(self.now(), Event::Desired, &fields);
     }
 
-    /// Logs whose keys have changed, never a key.
-    fn audit_keys(&self, accounts: &Directory) {
-        let former = self.table().unwrap_or_default();
-        // The first ones are all new.
-        if former.accounts.is_empty() {
+    /// Logs which accounts have changed keys, without the keys themselves.
+    fn log_key_changes(&self, accounts: &Directory) {
+        let previous = self.table().unwrap_or_default();
+        // With the first desired state every key is new.
+        if previous.accounts.is_empty() {
             return;
         }
-        for change in accounts.changes_since(&former.accounts) {
+        for change in accounts.changes_since(&previous.accounts) {
             let fields = [
                 ("account", change.account.as_str().into()),
                 ("keys_added", change.added.into()),
                 ("keys_removed", change.removed.into()),
             ];
-            self.journal.change(self.now(), Event::Keys, &fields);
+            self.journal.log_event(self.now(), Event::Keys, &fields);
         }
     }
 
-    /// True if there is a newer desired state than the own one.
+    /// True if this edition is newer than the active one.
     pub fn is_behind(&self, edition: Edition) -> bool {
         edition > self.edition()
     }
 
-    /// A peer has told which edition it has.
-    pub fn told(&self, edition: Edition, peer: NodeId) {
+    /// Records the edition that a peer announced, to fetch it if it is newer.
+    pub fn record_peer_edition(&self, edition: Edition, peer: NodeId) {
         if !self.is_behind(edition) {
             return;
         }
         let now = self.now();
         self.desired.catch_up.borrow_mut().record_offer(now, edition, peer);
-        // A node without any desired state serves nobody: no time to lose.
+        // A node without a desired state cannot serve, so it fetches at once.
         if self.edition().is_none() {
             self.catch_up();
         }
     }
 
-    /// True if peers may still bring a newer desired state than this to a
-    /// node that has none; `waited` is how long they have had.
-    pub fn may_hear_newer(&self, offered: Edition, waited: Millis) -> bool {
+    /// True if a node without a desired state should still wait for peers to
+    /// send one newer than `offered`; `waited` is how long it has waited so
+    /// far.
+    pub fn awaits_newer(&self, offered: Edition, waited: Millis) -> bool {
         if !self.edition().is_none() {
             return false;
         }
         if self.desired.catch_up.borrow().has_newer(offered) {
-            return waited < FETCH_WITHIN;
+            return waited < FETCH_WAIT;
         }
         let links = self.links();
-        let all_told = links.iter().all(|link| link.is_up());
-        let knows_all = self.has_directory.get() && all_told;
-        !knows_all && waited < HEAR_WITHIN
+        let all_up = links.iter().all(|link| link.is_up());
+        let is_connected = self.has_directory.get() && all_up;
+        !is_connected && waited < LINK_WAIT
     }
 
-    /// Asks a peer for a newer desired state that it told of, if it is time.
+    /// Requests a newer desired state from a peer that announced one, if a
+    /// request is due.
     pub fn catch_up(&self) {
         let watches = self.desired.watches.get();
         let mut catch_up = self.desired.catch_up.borrow_mut();
@@ -245,31 +250,31 @@
         }
     }
 
-    /// True if this node reaches the store, as far as it knows.
-    pub fn is_able(&self) -> bool {
-        self.desired.unable_until.get() <= self.now()
+    /// True unless a recent call to the store failed.
+    pub fn reaches_store(&self) -> bool {
+        self.desired.store_unreachable_until.get() <= self.now()
     }
 
-    /// The store has answered this node, or has not. The others are told of
-    /// a change, as they choose by it who watches.
-    pub fn note_store(&self, reached: bool) {
-        let before = self.is_able();
-        let until = match reached {
+    /// Records whether a call reached the store. A change is announced to the
+    /// other nodes, which elect the watchers by it.
+    pub fn record_store_call(&self, reached: bool) {
+        let before = self.reaches_store();
+        let unreachable_until = match reached {
             true => Millis(0),
-            false => self.now() + UNABLE,
+            false => self.now() + STORE_UNREACHABLE_HOLD,
         };
-        self.desired.unable_until.set(until);
+        self.desired.store_unreachable_until.set(unreachable_until);
         if before != reached {
             self.announce();
         }
     }
 
-    /// True if this node is to watch the desired state for its zone.
+    /// True if this node should watch the desired state for its zone.
     pub fn is_watcher(&self) -> bool {
         let zone = &self.settings.zone;
         let links = self.links();
         let others = links.iter().filter_map(|link| link.watcher(zone));
         let me = watcher::Rank::of(self.me);
-        watcher::should_watch(me, self.is_able(), others)
+        watcher::should_watch(me, self.reaches_store(), others)
     }
 }
--- a/crates/walnutmoor/src/mesh/dispatch.rs
+++ b/crates/walnutmoor/src/mesh/dispatch.rs
@@ -298,7 +298,12 @@
             ("fingerprint", request.fingerprint.to_string().into()),
             ("reached", self.way.arrivals().into()),
         ];
-        state.journal.request(now, Event::Retry, &request.attempt, &fields);
+        state.journal.log_request(
+            now,
+            Event::Retry,
+            &request.attempt,
+            &fields,
+        );
     }
 
     /// No instance is left to be tried.
--- a/crates/walnutmoor/src/mesh/ingress.rs
+++ b/crates/walnutmoor/src/mesh/ingress.rs
@@ -60,7 +60,7 @@
             }
             Err(error) => {
                 let fields = [("why", error.to_string().into())];
-                state.journal.change(state.now(), Event::Fault, &fields);
+                state.journal.log_event(state.now(), Event::Fault, &fields);
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
@@ -120,7 +120,7 @@
         let now = state.now();
         let fields = [("after_ms", now.since(self.since).0.into())];
         let id = &self.attempt;
-        state.journal.request(now, Event::Canceled, id, &fields);
+        state.journal.log_request(now, Event::Canceled, id, &fields);
     }
 }
 
@@ -201,8 +201,9 @@
             }
             Err(kind) => {
                 let answer = turn_away(state, &mut stay, &not_run(kind));
-                let Head { method, expects, closes, .. } = head;
-                let closes = kind == Kind::TooLarge || expects || closes;
+                let Head { method, expects_continue, closes, .. } = head;
+                let closes =
+                    kind == Kind::TooLarge || expects_continue || closes;
                 let rest = (!closes).then_some(body_max);
                 Err(Box::new(Turned { answer, method, rest, stay }))
             }
@@ -246,7 +247,7 @@
 
     /// True, once, if the caller waits to be told to send the body.
     pub(super) fn must_be_told(&mut self) -> bool {
-        std::mem::take(&mut self.head.expects) && self.body.is_empty()
+        std::mem::take(&mut self.head.expects_continue) && self.body.is_empty()
     }
 
     pub(super) fn is_repeatable(&self) -> bool {
@@ -411,7 +412,7 @@
             ("revision", state.edition().stamp.revision.0.into()),
         ];
         let id = &stay.attempt;
-        state.journal.request(now, Event::Refused, id, &fields);
+        state.journal.log_request(now, Event::Refused, id, &fields);
     }
     telemetry::count_account(stay.account(), kind.as_str());
     match refusal.retry_after {
@@ -474,7 +475,7 @@
             fields.push(("refuted", evidence.refuted.len().into()));
             fields.push(("crash_age_ms", evidence.age.0.into()));
         }
-        state.journal.request(now, event, id, &fields);
+        state.journal.log_request(now, event, id, &fields);
     }
     match end {
         End::Answered { status, headers, body, .. } => {
--- a/crates/walnutmoor/src/mesh/journal.rs
+++ b/crates/walnutmoor/src/mesh/journal.rs
@@ -1,11 +1,11 @@
 /*!
-The log: one JSON object a line on standard output.
+The log: one JSON object per line on standard output.
 
-Lines pass a bounded ring to a thread of their own, as standard output may
-block. A full ring drops the line and counts it by kind; the next line that
-gets through is followed by one with these counts. Lines about single
-requests are also bounded by a rate, so that the log costs a small part of
-the processor however many requests fail.
+Lines pass through a bounded queue to a separate thread, as writes to standard
+output may block. If the queue is full, the line is dropped and counted by
+event; the next line that is queued carries these counts. Lines are also
+limited by rate, so that logging takes little processor time however many
+requests fail.
 
 # Example
 
@@ -14,7 +14,8 @@
 use walnutmoor_core::time::Millis;
 
 let journal = Journal::silent();
-journal.request(Millis(3), Event::Refused, "9c41", &[("why", "full".into())]);
+let fields = [("why", "full".into())];
+journal.log_request(Millis(3), Event::Refused, "9c41", &fields);
 ```
 */
 
@@ -28,69 +29,68 @@
 use serde_json::{Map, Value};
 use walnutmoor_core::time::Millis;
 
-/// Lines that wait for the thread.
-const RING: usize = 1_024;
+/// Lines that may wait for the writer thread.
+const QUEUE_CAPACITY: usize = 1_024;
 
-/// Lines about single requests in a second; at some 300 bytes a line this
-/// keeps the log under 15 KB a second.
-const LINES_A_SECOND: u32 = 40;
+/// Maximum lines per second about single requests, except answered ones.
+const REQUEST_LINES_PER_SECOND: u32 = 40;
 
-/// Lines about routine in a second, out of the same.
-const ROUTINE_A_SECOND: u32 = 5;
+/// Maximum lines per second about answered requests.
+const ANSWERED_LINES_PER_SECOND: u32 = 5;
 
-/// Lines about what the process is or believes in a second: single faults
-/// bring a few; more than this in a second repeat themselves.
-const CHANGES_A_SECOND: u32 = 100;
+/// Maximum lines per second about the process and its view of others.
+const EVENT_LINES_PER_SECOND: u32 = 100;
 
-/// What a line tells.
+/// The kind of a line.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// The process starts.
+    /// The process has started.
     Start,
-    /// The process ends.
+    /// The process is stopping.
     Stop,
     /// The settings were read again.
     Reload,
-    /// A dependency can't be reached any more.
+    /// The store, another node or the instance has become unreachable.
     Lost,
-    /// It does not answer for now; nothing new is sent there.
+    /// A node does not respond, and no new calls are sent to it.
     Suspect,
-    /// It can be reached again.
+    /// What was unreachable responds again.
     Regained,
-    /// A desired state came into force, or was passed over.
+    /// A desired state was activated or ignored as outdated, or the node
+    /// started or stopped to watch for one.
     Desired,
-    /// The store tells another era.
+    /// The era of the store has changed.
     Era,
-    /// An account's keys have changed.
+    /// The keys of an account have changed.
     Keys,
-    /// A node was found, or is gone.
+    /// A node was found or is gone, or this node has registered again.
     Directory,
-    /// What is believed of the own instance changed.
+    /// The state of an instance has changed.
     Instance,
-    /// The own instance has crashed, and ran these requests.
+    /// The instance of this node has crashed while it ran these requests.
     Crash,
-    /// What is believed of a request under which instances ended.
+    /// The suspicion of a request under which instances ended has changed.
     Suspicion,
     /// A request was answered by an instance.
     Answered,
-    /// A request was turned away, not run.
+    /// A request was rejected and did not run.
     Refused,
-    /// A request ended and may have run.
+    /// A request failed and may have run.
     Unknown,
-    /// A request is sent to another instance.
+    /// A request is retried on another instance.
     Retry,
-    /// A caller left before its answer.
+    /// A caller disconnected before its request was answered.
     Canceled,
-    /// Admission of a route changed.
+    /// The admission rate of a route has changed.
     Admission,
-    /// Counts since the start.
+    /// Counters since the start of the process.
     Counters,
-    /// Something went wrong inside.
+    /// An internal error, or input that could not be used.
     Fault,
 }
 
 impl Event {
-    const ALL: [Event; EVENTS] = [
+    const ALL: [Event; EVENT_KINDS] = [
         Event::Start,
         Event::Stop,
         Event::Reload,
@@ -114,7 +114,7 @@
         Event::Fault,
     ];
 
-    /// The name in the log.
+    /// The name of the event in the log.
     pub fn as_str(self) -> &'static str {
         match self {
             Event::Start => "start",
@@ -146,137 +146,142 @@
     }
 }
 
-/// Number of events.
-const EVENTS: usize = Event::Fault as usize + 1;
+/// Number of kinds of events.
+const EVENT_KINDS: usize = Event::Fault as usize + 1;
 
-/// A named value in a line.
+/// The name and value of a field.
 pub type Field<'a> = (&'a str, Value);
 
-/// Writes the log.
+/// Writes the log of a node.
 #[derive(Debug)]
 pub struct Journal {
     node: String,
-    ring: RefCell<Option<Sender<Vec<u8>>>>,
+    queue: RefCell<Option<Sender<Vec<u8>>>>,
     thread: RefCell<Option<JoinHandle<()>>>,
-    dropped: RefCell<[u64; EVENTS]>,
+    dropped: RefCell<[u64; EVENT_KINDS]>,
     second: Cell<u64>,
-    lines: Cell<u32>,
-    routine: Cell<u32>,
-    changes: Cell<u32>,
+    request_lines: Cell<u32>,
+    answered_lines: Cell<u32>,
+    event_lines: Cell<u32>,
 }
 
 impl Journal {
-    /// A log on standard output.
+    /// Creates a log that writes to standard output.
     pub fn stdout(node: &str) -> Journal {
-        let (ring, lines) = bounded(RING);
+        let (queue, lines) = bounded(QUEUE_CAPACITY);
         let thread = thread::Builder::new()
             .name("journal".into())
-            .spawn(move || write(lines))
+            .spawn(move || write_lines(lines))
             .ok();
-        Journal::with(node, Some(ring), thread)
+        Journal::from_parts(node, Some(queue), thread)
     }
 
-    /// A log that goes nowhere.
+    /// Creates a log that discards all lines.
     pub fn silent() -> Journal {
-        Journal::with("", None, None)
+        Journal::from_parts("", None, None)
     }
 
-    fn with(
+    fn from_parts(
         node: &str,
-        ring: Option<Sender<Vec<u8>>>,
+        queue: Option<Sender<Vec<u8>>>,
         thread: Option<JoinHandle<()>>,
     ) -> Journal {
         Journal {
             node: node.to_string(),
-            ring: RefCell::new(ring),
+            queue: RefCell::new(queue),
             thread: RefCell::new(thread),
-            dropped: RefCell::new([0; EVENTS]),
+            dropped: RefCell::new([0; EVENT_KINDS]),
             second: Cell::new(0),
-            lines: Cell::new(0),
-            routine: Cell::new(0),
-            changes: Cell::new(0),
+            request_lines: Cell::new(0),
+            answered_lines: Cell::new(0),
+            event_lines: Cell::new(0),
         }
     }
 
-    /// A line about what the process is or believes.
-    pub fn change(&self, now: Millis, event: Event, fields: &[Field<'_>]) {
-        self.turn(now);
-        self.changes.set(self.changes.get() + 1);
-        if self.changes.get() > CHANGES_A_SECOND {
+    /// Logs an event of the process, unless the rate limit is exceeded.
+    pub fn log_event(&self, now: Millis, event: Event, fields: &[Field<'_>]) {
+        self.start_window(now);
+        self.event_lines.set(self.event_lines.get() + 1);
+        if self.event_lines.get() > EVENT_LINES_PER_SECOND {
             self.dropped.borrow_mut()[event.index()] += 1;
             return;
         }
-        self.line(now, event, None, fields);
+        self.write_line(now, event, None, fields);
     }
 
-    /// A line about a decision on a request, if the rate allows it.
-    pub fn request(
+    /// Logs a decision on the request with this id, unless the rate limit is
+    /// exceeded.
+    pub fn log_request(
         &self,
         now: Millis,
         event: Event,
         id: &str,
         fields: &[Field<'_>],
     ) {
-        if !self.spend(now, event) {
+        if !self.take_permit(now, event) {
             self.dropped.borrow_mut()[event.index()] += 1;
             return;
         }
-        self.line(now, event, Some(id), fields);
+        self.write_line(now, event, Some(id), fields);
     }
 
-    /// True if a line about this event would be written now. Callers that
-    /// build costly fields ask first.
+    /// True if a line about this event of a request would be written now;
+    /// counts the line as dropped if not. Callers check it before they build
+    /// costly fields.
     pub fn has_room(&self, now: Millis, event: Event) -> bool {
-        let fresh = self.second.get() != now.0 / 1_000;
-        let limit = match event {
-            Event::Answered => self.routine.get() < ROUTINE_A_SECOND,
-            _ => self.lines.get() < LINES_A_SECOND,
+        let is_new_second = self.second.get() != now.0 / 1_000;
+        let within_limit = match event {
+            Event::Answered => {
+                self.answered_lines.get() < ANSWERED_LINES_PER_SECOND
+            }
+            _ => self.request_lines.get() < REQUEST_LINES_PER_SECOND,
         };
-        let room = self.ring.borrow().is_some() && (fresh || limit);
+        let room =
+            self.queue.borrow().is_some() && (is_new_second || within_limit);
         if !room {
             self.dropped.borrow_mut()[event.index()] += 1;
         }
         room
     }
 
-    /// Writes what waits and ends the thread.
+    /// Writes the queued lines and ends the writer thread.
     pub fn close(&self) {
-        self.ring.borrow_mut().take();
+        self.queue.borrow_mut().take();
         if let Some(thread) = self.thread.borrow_mut().take() {
-            // The thread panics only if standard output is gone.
+            // The writer panics only if standard output is gone.
             let _ = thread.join();
         }
     }
 
-    /// Begins a new second.
-    fn turn(&self, now: Millis) {
+    /// Resets the rate limits when a new second begins.
+    fn start_window(&self, now: Millis) {
         let second = now.0 / 1_000;
         if self.second.replace(second) != second {
-            self.lines.set(0);
-            self.routine.set(0);
-            self.changes.set(0);
+            self.request_lines.set(0);
+            self.answered_lines.set(0);
+            self.event_lines.set(0);
         }
     }
 
-    fn spend(&self, now: Millis, event: Event) -> bool {
-        self.turn(now);
+    fn take_permit(&self, now: Millis, event: Event) -> bool {
+        self.start_window(now);
         if event == Event::Answered {
-            self.routine.set(self.routine.get() + 1);
-            return self.routine.get() <= ROUTINE_A_SECOND;
+            self.answered_lines.set(self.answered_lines.get() + 1);
+            return self.answered_lines.get() <= ANSWERED_LINES_PER_SECOND;
         }
-        self.lines.set(self.lines.get() + 1);
-        self.lines.get() <= LINES_A_SECOND
+        self.request_lines.set(self.request_lines.get() + 1);
+        self.request_lines.get() <= REQUEST_LINES_PER_SECOND
     }
 
-    fn line(
+    fn write_line(
         &self,
         now: Millis,
         event: Event,
         id: Option<&str>,
         fields: &[Field<'_>],
     ) {
-        let ring = self.ring.borrow();
-        let Some(ring) = &*ring else {
+        let queue = self.queue.borrow();
+        let Some(queue) = &*queue else {
             return;
         };
         let mut line = Map::new();
@@ -291,12 +296,12 @@
         }
         let mut dropped = self.dropped.borrow_mut();
         if dropped.iter().any(|count| *count > 0) {
-            line.insert("left_out".into(), counts(&dropped));
+            line.insert("left_out".into(), dropped_counts(&dropped));
         }
         let mut bytes = Value::Object(line).to_string().into_bytes();
         bytes.push(b'\n');
-        match ring.try_send(bytes) {
-            Ok(()) => *dropped = [0; EVENTS],
+        match queue.try_send(bytes) {
+            Ok(()) => *dropped = [0; EVENT_KINDS],
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
                 dropped[event.index()] += 1;
             }
@@ -304,7 +309,7 @@
     }
 }
 
-fn counts(dropped: &[u64; EVENTS]) -> Value {
+fn dropped_counts(dropped: &[u64; EVENT_KINDS]) -> Value {
     let mut map = Map::new();
     for event in Event::ALL {
         let count = dropped[event.index()];
@@ -315,18 +320,18 @@
     Value::Object(map)
 }
 
-/// The pause between writes: lines that come meanwhile go out in one write,
-/// which spares wake-ups.
-const GATHER: std::time::Duration = std::time::Duration::from_millis(100);
+/// Interval over which lines are gathered into one write, to save wake-ups.
+const FLUSH_INTERVAL: std::time::Duration =
+    std::time::Duration::from_millis(100);
 
-fn write(lines: Receiver<Vec<u8>>) {
+fn write_lines(lines: Receiver<Vec<u8>>) {
     let mut out = std::io::stdout();
     while let Ok(mut text) = lines.recv() {
-        thread::sleep(GATHER);
+        thread::sleep(FLUSH_INTERVAL);
         while let Ok(line) = lines.try_recv() {
             text.extend_from_slice(&line);
         }
-        // Nobody reads the log any more: there is no one to tell.
+        // Standard output is closed, so the error cannot be reported.
         if out.write_all(&text).and_then(|()| out.flush()).is_err() {
             return;
         }
--- a/crates/walnutmoor/src/mesh/link.rs
+++ b/crates/walnutmoor/src/mesh/link.rs
@@ -237,7 +237,7 @@
             ("silent_ms", now.since(self.heard.get()).0.into()),
             ("calls", self.pending.borrow().len().into()),
         ];
-        state.journal.change(now, Event::Suspect, &fields);
+        state.journal.log_event(now, Event::Suspect, &fields);
     }
 
     /// Something was heard.
@@ -253,7 +253,7 @@
             ("peer", self.node.to_string().into()),
             ("why", "it answers again".into()),
         ];
-        state.journal.change(now, Event::Regained, &fields);
+        state.journal.log_event(now, Event::Regained, &fields);
     }
 
     fn settle(&self, id: CallId, reply: Reply) {
--- a/crates/walnutmoor/src/mesh/link/carrier.rs
+++ b/crates/walnutmoor/src/mesh/link/carrier.rs
@@ -95,7 +95,7 @@
         return;
     }
     let why = format!("{} speaks protocol {protocol}", link.node);
-    state.journal.change(state.now(), Event::Fault, &[("why", why.into())]);
+    state.journal.log_event(state.now(), Event::Fault, &[("why", why.into())]);
 }
 
 fn begin(state: &Rc<State>, link: &Rc<Link>, hello: &Hello) {
@@ -119,12 +119,12 @@
         ("service", hello.service.as_str().into()),
         ("life", hello.life.0.into()),
     ];
-    state.journal.change(now, Event::Regained, &fields);
+    state.journal.log_event(now, Event::Regained, &fields);
     for node in &hello.known {
         state.learn(*node);
     }
     state.quotas.hear_of(hello.fleet);
-    state.hear_era(hello.era);
+    state.observe_peer_era(hello.era);
 }
 
 fn end(state: &Rc<State>, link: &Rc<Link>, why: &str) {
@@ -136,7 +136,7 @@
         ("why", why.into()),
         ("calls", link.pending.borrow().len().into()),
     ];
-    state.journal.change(now, Event::Lost, &fields);
+    state.journal.log_event(now, Event::Lost, &fields);
     let link = link.clone();
     tokio::task::spawn_local(async move {
         sleep(RESUME_WITHIN).await;
@@ -173,7 +173,7 @@
     }
     let _ = out.send(Frame::Ping(state.edition()));
     *link.out.borrow_mut() = Some(out);
-    state.told(theirs, link.node);
+    state.record_peer_edition(theirs, link.node);
     tokio::select! {
         end = receive(state, link, read, bytes) => match end {
             Ok(()) => "closed by the peer".into(),
@@ -242,7 +242,7 @@
         Frame::Pong(edition, able, load) => {
             link.is_able.set(able);
             state.report(link.node, load);
-            state.told(edition, link.node);
+            state.record_peer_edition(edition, link.node);
         }
         Frame::Desired(stamp, raw) => {
             state.adopt(stamp, raw, Source::Peer);
--- a/crates/walnutmoor/src/mesh/node.rs
+++ b/crates/walnutmoor/src/mesh/node.rs
@@ -73,7 +73,7 @@
         ("service", settings.service.as_str().into()),
         ("zone", settings.zone.as_str().into()),
     ];
-    state.journal.change(state.now(), Event::Start, &fields);
+    state.journal.log_event(state.now(), Event::Start, &fields);
     let peers = bind(settings.peers)?;
     let callers = bind(settings.callers)?;
     let desks = [
@@ -89,9 +89,9 @@
     state.balance.borrow_mut().join(state.me, own, &settings.zone);
     spawn_local(peer::listen(state.clone(), peers));
     spawn_local(ingress::listen(state.clone(), callers));
-    spawn_local(store::desired(state.clone()));
-    spawn_local(store::directory(state.clone()));
-    spawn_local(store::suspects(state.clone()));
+    spawn_local(store::sync_desired(state.clone()));
+    spawn_local(store::sync_directory(state.clone()));
+    spawn_local(store::sync_suspects(state.clone()));
     spawn_local(store::write_suspects(state.clone()));
     spawn_local(tick(state.clone()));
     spawn_local(ask(state.clone()));
@@ -144,7 +144,7 @@
             Err(_) => "can't be read; the former ones hold",
         };
         let fields = [("settings", outcome.into())];
-        state.journal.change(state.now(), Event::Reload, &fields);
+        state.journal.log_event(state.now(), Event::Reload, &fields);
     }
 }
 
@@ -191,7 +191,7 @@
                 ("pressed", pressure.shedding.into()),
             ];
             let now = state.now();
-            state.journal.request(now, Event::Admission, "", &fields);
+            state.journal.log_request(now, Event::Admission, "", &fields);
         }
     }
 }
@@ -218,7 +218,7 @@
             ("callers", state.connections.get().into()),
             ("connections", serve.pool.opened().into()),
         ];
-        state.journal.change(state.now(), Event::Counters, &fields);
+        state.journal.log_event(state.now(), Event::Counters, &fields);
     }
 }
 
@@ -280,7 +280,7 @@
     let since = state.now();
     state.phase.set(Phase::Leaving);
     let fields = [("phase", "leaving".into())];
-    state.journal.change(since, Event::Stop, &fields);
+    state.journal.log_event(since, Event::Stop, &fields);
     let end = since + (state.settings.grace() - MARGIN);
     if state.serve.has_left() {
         let state = state.clone();
@@ -305,6 +305,6 @@
         ("phase", "ended".into()),
         ("under_way", state.under_way.get().into()),
     ];
-    state.journal.change(state.now(), Event::Stop, &fields);
+    state.journal.log_event(state.now(), Event::Stop, &fields);
     state.journal.close();
 }
--- a/crates/walnutmoor/src/mesh/peer.rs
+++ b/crates/walnutmoor/src/mesh/peer.rs
@@ -131,7 +131,7 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 let fields = [("why", error.to_string().into())];
-                state.journal.change(state.now(), Event::Fault, &fields);
+                state.journal.log_event(state.now(), Event::Fault, &fields);
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             }
@@ -162,7 +162,7 @@
     *session.out.borrow_mut() = Some(out);
     state.learn(hello.node);
     state.quotas.hear_of(hello.fleet);
-    state.hear_era(hello.era);
+    state.observe_peer_era(hello.era);
     let task =
         carry(state, session.clone(), (read, bytes), write, frames, hello);
     let task = tokio::task::spawn_local(task);
@@ -265,9 +265,9 @@
         }
         Frame::Ping(edition) => {
             let load = state.serve.load(state.now());
-            let able = state.is_able();
+            let able = state.reaches_store();
             session.send(Frame::Pong(state.edition(), able, load));
-            state.told(edition, hello.node);
+            state.record_peer_edition(edition, hello.node);
         }
         Frame::Ask(account, ask) => {
             let answer = state.allot(&account, ask);
@@ -276,9 +276,9 @@
         Frame::Departed(instance) => state.note_departed(hello.node, instance),
         Frame::Evidence(told) => state.hear(&told, PEER),
         Frame::Former(instances) => state.serve.note_former(state, instances),
-        Frame::Era(era) => state.hear_era(era),
+        Frame::Era(era) => state.observe_peer_era(era),
         Frame::Fetch => {
-            if let Some(desired) = state.desired() {
+            if let Some(desired) = state.desired_frame() {
                 session.send(desired);
             }
         }
--- a/crates/walnutmoor/src/mesh/settings.rs
+++ b/crates/walnutmoor/src/mesh/settings.rs
@@ -1,8 +1,8 @@
 /*!
-Settings of a node in the mesh, in YAML.
+The settings of a node in the mesh, in YAML.
 
-The platform renders the file from a template at each start and at each
-change; `docs/SETTINGS.md` lists the keys.
+The platform renders the file from a template at each start and each change;
+`docs/SETTINGS.md` lists the keys.
 */
 
 use std::{collections::BTreeMap, net::SocketAddr, path::Path};
@@ -16,87 +16,86 @@
 
 use crate::failure::Failure;
 
-/// The time from the signal to end until the platform kills, where the
-/// settings name none.
-const GRACE: Millis = Millis(6_000);
+/// Time between the termination signal and the kill by the platform, unless
+/// the settings specify it.
+const DEFAULT_GRACE: Millis = Millis(6_000);
 
-/// Files and sockets that a process may commonly have open.
-fn descriptors() -> usize {
+/// Default limit of open files and sockets.
+fn default_descriptors() -> usize {
     1_024
 }
 
-/// Megabytes that a process beside an instance is commonly given.
-fn memory() -> usize {
+/// Default memory limit, in megabytes.
+fn default_memory() -> usize {
     256
 }
 
-/// What a node reads ahead of its answers on one caller's connection.
+/// Limits on what a node reads from one caller's connection before it has
+/// answered earlier requests.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ReadAhead {
-    /// Requests that are under way at once.
+    /// Maximum number of requests in flight.
     pub requests: usize,
-    /// Bytes that are read and not decoded yet. A longer head is read whole
-    /// where the operator allows it.
+    /// Maximum number of bytes that are read and not decoded yet. A longer
+    /// request head is still read whole if the operator allows its size.
     pub bytes: usize,
 }
 
 impl Default for ReadAhead {
-    /// More requests than callers commonly send at once, and bytes for about
-    /// as many heads.
+    /// Enough for the pipelining of common clients.
     fn default() -> ReadAhead {
         ReadAhead { requests: 16, bytes: 32 << 10 }
     }
 }
 
-/// All settings.
+/// The settings of a node.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The node's name, for logs.
+    /// The name of the node in logs.
     pub name: String,
-    /// Where other nodes reach it, by TCP.
+    /// The TCP address on which the node listens for other nodes.
     pub peers: SocketAddr,
-    /// The address that other nodes are told for `peers`, where it differs
-    /// from the one that the node listens on; it is also the node's name
-    /// among them.
+    /// The address of `peers` as announced to other nodes, if it differs from
+    /// the one on which the node listens. It also identifies the node.
     pub advertise: Option<SocketAddr>,
-    /// Its availability zone.
+    /// The availability zone of the node.
     pub zone: Zone,
-    /// The service of the instance beside it.
+    /// The service of the instance beside the node.
     pub service: Service,
-    /// Where that instance listens.
+    /// The address on which that instance listens.
     pub server: SocketAddr,
-    /// Where callers and the instance send requests.
+    /// The address that accepts requests from callers and the instance.
     pub callers: SocketAddr,
-    /// Where the platform asks whether callers may come.
+    /// The address of the platform's readiness probe.
     pub ready: SocketAddr,
-    /// Where the instance sends heartbeats.
+    /// The address that accepts heartbeats of the instance.
     pub control: SocketAddr,
-    /// Where metrics are served.
+    /// The address that serves metrics.
     pub metrics: SocketAddr,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// Files and sockets that the process may have open.
-    #[serde(default = "descriptors")]
+    /// Limit of open files and sockets of the process.
+    #[serde(default = "default_descriptors")]
     pub descriptors: usize,
-    /// Megabytes that the process may take.
-    #[serde(default = "memory")]
+    /// Memory limit of the process, in megabytes.
+    #[serde(default = "default_memory")]
     pub memory: usize,
-    /// What is read ahead of the answers on a caller's connection.
+    /// Limits on reading ahead on a caller's connection.
     #[serde(default)]
     pub read_ahead: ReadAhead,
-    /// The platform's bounds by name.
+    /// The platform's bounds, by name.
     #[serde(default)]
     pub bounds: BTreeMap<String, String>,
 }
 
 impl Settings {
-    /// Reads a file.
+    /// Reads and parses a settings file.
     ///
     /// # Errors
     ///
-    /// If there is no such file, or a key in it is missing or wrong.
+    /// If the file cannot be read, or a key in it is missing or invalid.
     pub fn read(path: &Path) -> Result<Settings, Failure> {
         let text = std::fs::read_to_string(path).map_err(|cause| {
             Failure::File { path: path.display().to_string(), cause }
@@ -104,29 +103,31 @@
         crate::settings::yaml(&path.display().to_string(), &text)
     }
 
-    /// Parses the text of a file.
+    /// Parses the text of a settings file.
     ///
     /// # Errors
     ///
-    /// If a key is missing or wrong.
+    /// If a key is missing or invalid.
     pub fn parse(text: &str) -> Result<Settings, Failure> {
         crate::settings::yaml("settings", text)
     }
 
-    /// The address by which other nodes know this one.
+    /// The address that identifies this node to others.
     pub fn address(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.peers)
     }
 
-    /// The platform's bounds that concern this node.
+    /// Parses the platform's bounds that apply to this node.
     pub fn bounds(&self) -> Bounds {
         Bounds::parse(
-            self.bounds.iter().map(|(n, v)| (n.as_str(), v.as_str())),
+            self.bounds
+                .iter()
+                .map(|(name, value)| (name.as_str(), value.as_str())),
         )
     }
 
-    /// How long the node has from the signal to end.
+    /// Time between the termination signal and the kill by the platform.
     pub fn grace(&self) -> Millis {
-        self.bounds().grace.unwrap_or(GRACE)
+        self.bounds().grace.unwrap_or(DEFAULT_GRACE)
     }
 }
--- a/crates/walnutmoor/src/mesh/state.rs
+++ b/crates/walnutmoor/src/mesh/state.rs
@@ -30,7 +30,7 @@
     quotas::Quotas,
     serve::Serve,
     settings::Settings,
-    store::Eras,
+    store::EraTracker,
     suspicion::Suspicion,
 };
 
@@ -84,7 +84,7 @@
     /// The desired state.
     pub(super) desired: Desired,
     /// The era of the store.
-    pub(super) eras: Eras,
+    pub(super) eras: EraTracker,
     /// Quotas of client accounts.
     pub(crate) quotas: Quotas,
     /// Instances that have left, by the node that told so.
@@ -134,7 +134,7 @@
             sessions: RefCell::new(Map::default()),
             has_directory: Cell::new(false),
             desired: Desired::default(),
-            eras: Eras::default(),
+            eras: EraTracker::default(),
             quotas: Quotas::new(settings.bounds().quota()),
             departed: RefCell::new(Map::default()),
             longest: RefCell::new(Map::default()),
@@ -182,7 +182,7 @@
             ("peer", node.to_string().into()),
             ("accepting", load.accepting.into()),
         ];
-        self.journal.change(self.now(), Event::Instance, &fields);
+        self.journal.log_event(self.now(), Event::Instance, &fields);
     }
 
     /// Tells every node that has linked what has become of the own
@@ -192,7 +192,7 @@
         let load = self.serve.load(self.now());
         self.report(self.me, load);
         for session in self.sessions.borrow().values() {
-            let able = self.is_able();
+            let able = self.reaches_store();
             session.send(Frame::Pong(self.edition(), able, load));
         }
     }
@@ -234,7 +234,7 @@
             zone: self.settings.zone.clone(),
             service: self.settings.service.clone(),
             edition: self.edition(),
-            era: self.eras.last(),
+            era: self.eras.highest(),
             load: self.serve.load(self.now()),
             known: self.some_known(),
             fleet: self.quotas.known(),
@@ -268,7 +268,7 @@
             return;
         }
         let fields = [("found", node.to_string().into())];
-        self.journal.change(self.now(), Event::Directory, &fields);
+        self.journal.log_event(self.now(), Event::Directory, &fields);
         let link = Link::open(self, node);
         self.links.borrow_mut().insert(node, link);
     }
@@ -282,6 +282,6 @@
         self.departed.borrow_mut().remove(&node);
         self.balance.borrow_mut().leave(node);
         let fields = [("gone", node.to_string().into())];
-        self.journal.change(self.now(), Event::Directory, &fields);
+        self.journal.log_event(self.now(), Event::Directory, &fields);
     }
 }
--- a/crates/walnutmoor/src/mesh/store.rs
+++ b/crates/walnutmoor/src/mesh/store.rs
@@ -1,15 +1,17 @@
 /*!
-The platform's store: the desired state, and the directory of nodes.
+The client of the platform's store: the desired state, the directory of nodes,
+and records of suspected requests.
 
-The desired state is read once and then watched by a long poll, which costs
-the store one call for each change instead of one for each look. Only a few
-nodes of each availability zone watch; `walnutmoor_core::watcher` has who, and
-the others hear of a change from them. A node writes its own record once, and
-only then reads those of others: of two nodes the one that reads later finds
-the other, and the link that it opens makes it known there. So the directory
-needs no watch; it is read again now and then, as it was some seconds ago, for
-nodes that are gone. What instances do travels on links and never through the
-store.
+The desired state is read once and then watched by long polling, which costs
+the store one call per change. Only a few nodes of each availability zone
+watch, as elected by `walnutmoor_core::watcher`; the others learn of changes
+from them.
+
+A node writes its own directory record before it reads those of others. Of two
+nodes that start together, the one that reads later finds the other and opens
+a link to it, so the directory needs no watch. It is polled at long intervals
+to find nodes that are gone. The load of instances is reported on links and
+never through the store.
 */
 
 mod client;
@@ -23,57 +25,59 @@
 use tokio::time::sleep;
 use walnutmoor_core::time::Millis;
 
-pub(super) use era::Eras;
+pub(super) use era::EraTracker;
 
-pub use directory::{directory, unregister};
-pub use suspects::{suspects, write_suspects};
-pub use watch::desired;
+pub use directory::{sync_directory, unregister};
+pub use suspects::{sync_suspects, write_suspects};
+pub use watch::sync_desired;
 
 use self::client::Error;
 use super::{journal::Event, state::State};
 
-/// The pause after the first call that failed.
-const PAUSE_MIN: Millis = Millis(100);
+/// Backoff after the first failed call.
+const BACKOFF_MIN: Millis = Millis(100);
 
-/// The longest pause between calls that fail: a store that returns is
-/// noticed within this.
-const PAUSE_MAX: Millis = Millis(800);
+/// Maximum backoff between failed calls, and so the delay until a recovered
+/// store is noticed.
+const BACKOFF_MAX: Millis = Millis(800);
 
-/// The pause before a restored store is read anew: all that watch do so, and
-/// one whose answers are of two eras must not be asked without end.
-async fn begin_anew(state: &State) {
-    let pause = state.spread(PAUSE_MIN);
-    sleep(Duration::from_millis(pause.0)).await;
+/// Waits before a restored store is read again. All watchers read it at the
+/// same time, and a store that answers with alternating eras must not cause a
+/// busy loop.
+async fn wait_before_resync(state: &State) {
+    let delay = state.spread(BACKOFF_MIN);
+    sleep(Duration::from_millis(delay.0)).await;
 }
 
-/// Says once that the store is lost and once that it is back.
-struct Watchman {
-    what: &'static str,
-    lost: bool,
-    pause: Millis,
+/// The backoff of one task that calls the store. Logs the first failed call
+/// and the first successful one after it.
+struct Backoff {
+    task: &'static str,
+    is_failing: bool,
+    delay: Millis,
 }
 
-impl Watchman {
-    fn new(what: &'static str) -> Watchman {
-        Watchman { what, lost: false, pause: PAUSE_MIN }
+impl Backoff {
+    fn new(task: &'static str) -> Backoff {
+        Backoff { task, is_failing: false, delay: BACKOFF_MIN }
     }
 
-    fn good(&mut self, state: &State) {
-        self.pause = PAUSE_MIN;
-        if std::mem::take(&mut self.lost) {
-            let fields = [("store", self.what.into())];
-            state.journal.change(state.now(), Event::Regained, &fields);
+    fn on_success(&mut self, state: &State) {
+        self.delay = BACKOFF_MIN;
+        if std::mem::take(&mut self.is_failing) {
+            let fields = [("store", self.task.into())];
+            state.journal.log_event(state.now(), Event::Regained, &fields);
         }
     }
 
-    async fn bad(&mut self, state: &State, error: &Error) {
-        if !std::mem::replace(&mut self.lost, true) {
+    async fn on_failure(&mut self, state: &State, error: &Error) {
+        if !std::mem::replace(&mut self.is_failing, true) {
             let why = error.to_string().into();
-            let fields = [("store", self.what.into()), ("why", why)];
-            state.journal.change(state.now(), Event::Lost, &fields);
+            let fields = [("store", self.task.into()), ("why", why)];
+            state.journal.log_event(state.now(), Event::Lost, &fields);
         }
-        let pause = state.spread(self.pause);
-        self.pause = Millis(self.pause.0 * 2).min(PAUSE_MAX);
-        sleep(Duration::from_millis(pause.0)).await;
+        let delay = state.spread(self.delay);
+        self.delay = Millis(self.delay.0 * 2).min(BACKOFF_MAX);
+        sleep(Duration::from_millis(delay.0)).await;
     }
 }
--- a/crates/walnutmoor/src/mesh/store/client.rs
+++ b/crates/walnutmoor/src/mesh/store/client.rs
@@ -1,5 +1,6 @@
 /*!
-Calls to the platform's store, one after another on one connection.
+An HTTP client for the platform's store, with one call at a time on one
+connection.
 */
 
 use std::{rc::Rc, time::Duration};
@@ -17,47 +18,45 @@
 use super::era;
 use crate::mesh::state::State;
 
-/// How long a call may take besides what the store holds it: the store takes
-/// 4 ms, and some hundreds when it is slow.
-pub(super) const CALL_WITHIN: Duration = Duration::from_millis(1_500);
+/// Timeout of a call, in addition to the time that the store may hold a watch.
+pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Idle time before a connection is probed, and between probes. With
-/// [`PROBES`] a silent connection is found within 2 s.
-const PROBE: Duration = Duration::from_secs(1);
+/// Idle time before a TCP keep-alive probe, and between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Probes that may go unanswered.
-const PROBES: u32 = 1;
+/// Unanswered keep-alive probes after which a connection is dropped.
+const KEEPALIVE_RETRIES: u32 = 1;
 
 /// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum Error {
-    #[error("no connection")]
+    #[error("cannot connect to the store")]
     Connect,
-    #[error("no answer in time")]
-    Late,
-    #[error("the connection broke")]
-    Broken,
-    #[error("the store answered {0}")]
+    #[error("the store did not respond in time")]
+    Timeout,
+    #[error("the connection to the store was closed")]
+    Closed,
+    #[error("the store returned status {0}")]
     Status(u16),
-    /// Nothing that was read before goes on.
-    #[error("the store came back from an older copy")]
+    /// Revisions from before the restore are no longer valid.
+    #[error("the store was restored from an older copy")]
     Restored,
     #[error("{0}")]
     Body(#[from] walnutmoor_platform::Error),
 }
 
-/// An answer of the store.
-pub(super) struct Answer {
+/// A response of the store.
+pub(super) struct Response {
     pub(super) status: StatusCode,
     pub(super) era: Era,
     pub(super) body: Bytes,
 }
 
-/// One connection to the store.
+/// A client with at most one open connection.
 pub(super) struct Client {
     state: Rc<State>,
     connection: Option<(SendRequest<Full<Bytes>>, AbortHandle)>,
-    /// Entries of lists that could not be read.
+    /// Number of list entries that could not be decoded.
     pub(super) unreadable: usize,
 }
 
@@ -81,12 +80,12 @@
     pub(super) async fn call(
         &mut self,
         request: Request<Bytes>,
-        within: Duration,
-    ) -> Result<Answer, Error> {
-        let result = timeout(within, self.exchange(request)).await;
-        let result = result.unwrap_or(Err(Error::Late));
+        time_limit: Duration,
+    ) -> Result<Response, Error> {
+        let result = timeout(time_limit, self.exchange(request)).await;
+        let result = result.unwrap_or(Err(Error::Timeout));
         if result.is_err() {
-            // A connection on which an answer was lost is of no more use.
+            // A late response must not be taken for that of a later call.
             self.disconnect();
         }
         result
@@ -95,46 +94,46 @@
     async fn exchange(
         &mut self,
         request: Request<Bytes>,
-    ) -> Result<Answer, Error> {
-        let closed = match &self.connection {
+    ) -> Result<Response, Error> {
+        let is_closed = match &self.connection {
             Some((sender, _)) => sender.is_closed(),
             None => true,
         };
-        if closed {
+        if is_closed {
             let address = self.state.settings.store;
             self.connection = Some(connect(address).await?);
         }
         let (sender, _) = self.connection.as_mut().ok_or(Error::Connect)?;
-        sender.ready().await.map_err(|_| Error::Broken)?;
+        sender.ready().await.map_err(|_| Error::Closed)?;
         let mut request = request.map(Full::new);
         let host = self.state.settings.store.to_string();
         if let Ok(host) = host.parse() {
             request.headers_mut().insert(http::header::HOST, host);
         }
-        let answer = sender.send_request(request);
-        let answer = answer.await.map_err(|_| Error::Broken)?;
-        let era = era::note(&self.state, answer.headers());
-        let status = answer.status();
-        let body = answer.into_body().collect().await;
-        let body = body.map_err(|_| Error::Broken)?.to_bytes();
-        Ok(Answer { status, era, body })
+        let response = sender.send_request(request);
+        let response = response.await.map_err(|_| Error::Closed)?;
+        let era = era::observe_response(&self.state, response.headers());
+        let status = response.status();
+        let body = response.into_body().collect().await;
+        let body = body.map_err(|_| Error::Closed)?.to_bytes();
+        Ok(Response { status, era, body })
     }
 
     pub(super) async fn read(
         &mut self,
         kind: Kind,
         read: &Read,
-    ) -> Result<Answer, Error> {
-        let within = match read {
-            Read::List { .. } => CALL_WITHIN,
+    ) -> Result<Response, Error> {
+        let time_limit = match read {
+            Read::List { .. } => CALL_TIMEOUT,
             Read::Watch { wait, .. } => {
-                CALL_WITHIN + Duration::from_millis(wait.0)
+                CALL_TIMEOUT + Duration::from_millis(wait.0)
             }
         };
         let request = store::request(kind, read);
-        let answer = self.call(request, within).await?;
-        match answer.status {
-            StatusCode::OK => Ok(answer),
+        let response = self.call(request, time_limit).await?;
+        match response.status {
+            StatusCode::OK => Ok(response),
             other => Err(Error::Status(other.as_u16())),
         }
     }
@@ -150,12 +149,12 @@
             let last = objects.last().map(|o: &Object| o.name.clone());
             let after = last.unwrap_or_default();
             let read = Read::List { after, stale };
-            let answer = self.read(kind, &read).await?;
-            let page = store::page(&answer.body)?;
-            // A watch goes on from the first page, so that no change
-            // between two pages is missed.
+            let response = self.read(kind, &read).await?;
+            let page = store::page(&response.body)?;
+            // Watching from the revision of the first page misses no change
+            // that happens between two pages.
             let revision = page.revision;
-            let stamp = Stamp { era: answer.era, revision };
+            let stamp = Stamp { era: response.era, revision };
             let first = *first.get_or_insert(stamp);
             if stamp.era != first.era {
                 return Err(Error::Restored);
@@ -175,17 +174,18 @@
     let stream = TcpStream::connect(address).await;
     let stream = stream.map_err(|_| Error::Connect)?;
     let socket = SockRef::from(&stream);
-    let probes = TcpKeepalive::new()
-        .with_time(PROBE)
-        .with_interval(PROBE)
-        .with_retries(PROBES);
-    // Without probes a dead connection is found when the watch ends.
-    let _ = socket.set_tcp_keepalive(&probes);
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
+    // Best effort: without probes a dead connection is noticed only when the
+    // watch times out.
+    let _ = socket.set_tcp_keepalive(&keepalive);
     let _ = stream.set_nodelay(true);
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (sender, driver) = handshake.map_err(|_| Error::Connect)?;
     let task = tokio::task::spawn_local(async move {
-        // The call on this connection tells what went wrong.
+        // A connection error is returned by the pending call.
         let _ = driver.await;
     });
     Ok((sender, task.abort_handle()))
--- a/crates/walnutmoor/src/mesh/store/directory.rs
+++ b/crates/walnutmoor/src/mesh/store/directory.rs
@@ -1,5 +1,5 @@
 /*!
-The directory of nodes, each of which writes one record of itself.
+The directory of nodes, in which each node keeps a record of itself.
 */
 
 use std::{rc::Rc, time::Duration};
@@ -18,37 +18,38 @@
 use walnutmoor_platform::store::{self, Kind, Object};
 
 use super::{
-    PAUSE_MAX, Watchman,
-    client::{Answer, CALL_WITHIN, Client, Error},
+    BACKOFF_MAX, Backoff,
+    client::{CALL_TIMEOUT, Client, Error, Response},
 };
 use crate::mesh::{
     journal::Event,
     state::{Phase, State},
 };
 
-/// The pause between looks at the directory, give or take half of it, at the
-/// least. A node that was missed, or is gone, is noticed within this.
-const LOOK: Millis = Millis(15_000);
+/// Minimum interval between polls of the directory, randomized by half of it
+/// either way. It bounds the delay until a missed or removed node is noticed.
+const POLL_INTERVAL_MIN: Millis = Millis(15_000);
 
-/// The pause for each record in it, so that what a node reads in a second
-/// does not grow with the fleet: some 2 KB at 120 bytes a record.
-const LOOK_EACH: Millis = Millis(50);
+/// Poll interval per record in the directory, so that the read rate of a node
+/// does not grow with the fleet.
+const POLL_INTERVAL_PER_RECORD: Millis = Millis(50);
 
-/// How long a node has begun at most to be among the first that look whether
-/// a restored store has their records: copies are seconds old.
-const YOUNG: Millis = Millis(60_000);
+/// Maximum uptime of a node that checks its record early after a restore. A
+/// restored copy lacks only recent writes.
+const RECENT_UPTIME_MAX: Millis = Millis(60_000);
 
-/// Within how long these look.
-const CHECK_MIN: Millis = Millis(1_000);
+/// Minimum window over which the nodes spread the check of their records.
+const CHECK_WINDOW_MIN: Millis = Millis(1_000);
 
-/// How long a node may take besides to write its record again: one that was
-/// frozen or cut off is back within this, or taken for gone.
-const COMPLETE_AFTER: Millis = Millis(10_000);
+/// Time in addition to the check window after which a node that has not
+/// written its record again counts as gone.
+const REREGISTRATION_GRACE: Millis = Millis(10_000);
 
-/// Looks a second of all others together, a part of the store's rates.
-const CHECKS_A_SECOND: u64 = 500;
+/// Total rate of record checks by the fleet, within the rate limits of the
+/// store.
+const CHECKS_PER_SECOND: u64 = 500;
 
-/// What a node writes about itself.
+/// The record of a node.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 struct Record {
     node: NodeId,
@@ -56,110 +57,121 @@
     service: Service,
 }
 
-/// Registers this node, and keeps the directory of nodes.
-pub async fn directory(state: Rc<State>) {
+/// Registers this node, and keeps its links in line with the directory.
+pub async fn sync_directory(state: Rc<State>) {
     let mut client = Client::new(&state);
-    let mut watchman = Watchman::new("directory");
+    let mut backoff = Backoff::new("directory");
     let mut eras = state.eras.subscribe();
-    let mut registered = false;
-    // What others have written just before must not be missed the first time.
+    let mut is_registered = false;
+    // The first read must not be stale, or it may miss nodes that have just
+    // registered.
     let mut stale = false;
     loop {
-        // A node that ends takes its record away if its instance has left.
-        if !registered && state.phase.get() == Phase::Serving {
-            registered = register(&state, &mut client).await;
+        // A node that shuts down must not register again, as it may already
+        // have removed its record.
+        if !is_registered && state.phase.get() == Phase::Serving {
+            is_registered = register(&state, &mut client).await;
         }
         match client.list(Kind::Node, stale).await {
             Ok((objects, _)) => {
-                watchman.good(&state);
-                note_unreadable(&state, &mut client);
-                // Somebody else may have removed or spoiled the own record.
-                registered = compare(&state, &objects);
-                let look =
-                    Millis(LOOK_EACH.0 * objects.len() as u64).max(LOOK);
-                let pause = if registered { look } else { PAUSE_MAX };
-                // Stores close a connection that is idle for as long.
+                backoff.on_success(&state);
+                log_unreadable(&state, &mut client);
+                // The record of this node may have been removed or
+                // overwritten.
+                is_registered = sync_links(&state, &objects);
+                let interval =
+                    Millis(POLL_INTERVAL_PER_RECORD.0 * objects.len() as u64)
+                        .max(POLL_INTERVAL_MIN);
+                let pause = if is_registered { interval } else { BACKOFF_MAX };
+                // The store would close a connection that is idle for the
+                // interval.
                 client.disconnect();
                 let pause = state.spread(pause);
-                registered &= is_kept(&state, &mut eras, pause).await;
-                stale = registered;
+                is_registered &=
+                    wait_while_registered(&state, &mut eras, pause).await;
+                stale = is_registered;
             }
-            Err(error) => watchman.bad(&state, &error).await,
+            Err(error) => backoff.on_failure(&state, &error).await,
         }
     }
 }
 
-/// Waits for the next look at the directory. False if the store has lost the
-/// own record meanwhile, as it came back from an older copy.
-async fn is_kept(
+/// Waits until the next poll of the directory. Returns false early if the
+/// store was restored and has lost the record of this node.
+async fn wait_while_registered(
     state: &Rc<State>,
     eras: &mut watch::Receiver<Era>,
     pause: Millis,
 ) -> bool {
-    let next = Instant::now() + Duration::from_millis(pause.0);
-    while timeout_at(next, eras.changed()).await.is_ok() {
-        let wait = state.draw() * check_within(state).0 as f64;
-        sleep(Duration::from_millis(wait as u64)).await;
-        if !is_registered(state).await {
+    let next_poll = Instant::now() + Duration::from_millis(pause.0);
+    while timeout_at(next_poll, eras.changed()).await.is_ok() {
+        let delay = state.draw() * check_window(state).0 as f64;
+        sleep(Duration::from_millis(delay as u64)).await;
+        if !has_record(state).await {
             let fields = [("registered", "again".into())];
-            state.journal.change(state.now(), Event::Directory, &fields);
+            state.journal.log_event(state.now(), Event::Directory, &fields);
             return false;
         }
     }
     true
 }
 
-/// True if the directory may lack nodes that live, as the store has come back
-/// from an older copy.
-fn is_incomplete(state: &State) -> bool {
+/// True if the directory may still lack running nodes after a restore of the
+/// store.
+fn may_be_incomplete(state: &State) -> bool {
     let since = state.eras.since_restore(state.now());
-    since.is_some_and(|since| since < check_within(state) + COMPLETE_AFTER)
+    since.is_some_and(|since| {
+        since < check_window(state) + REREGISTRATION_GRACE
+    })
 }
 
-/// Within how long the nodes look at their own records after a restore. The
-/// store has lost what was written lately, so young nodes look first.
-fn check_within(state: &State) -> Millis {
-    if state.now() < YOUNG {
-        return CHECK_MIN;
+/// The window over which the nodes check their records after a restore.
+/// Recently started nodes check first, as theirs are the records most likely
+/// lost.
+fn check_window(state: &State) -> Millis {
+    if state.now() < RECENT_UPTIME_MAX {
+        return CHECK_WINDOW_MIN;
     }
     let fleet = state.quotas.known() as u64;
-    Millis(fleet * 1_000 / CHECKS_A_SECOND).max(CHECK_MIN)
+    Millis(fleet * 1_000 / CHECKS_PER_SECOND).max(CHECK_WINDOW_MIN)
 }
 
-/// True if the store is known to have the own record.
-async fn is_registered(state: &Rc<State>) -> bool {
+/// True if the store confirms that it holds the record of this node.
+async fn has_record(state: &Rc<State>) -> bool {
     let mut client = Client::new(state);
-    let get = store::get(Kind::Node, &name(state));
-    match client.call(get, CALL_WITHIN).await {
-        Ok(answer) => answer.status.is_success(),
-        // It is written again, which does no harm if it is there.
+    let get = store::get(Kind::Node, &record_name(state));
+    match client.call(get, CALL_TIMEOUT).await {
+        Ok(response) => response.status.is_success(),
+        // Writing the record again does no harm if it exists.
         Err(error) => {
-            let why = format!("own record: {error}").into();
+            let why =
+                format!("cannot read the record of this node: {error}").into();
             let now = state.now();
-            state.journal.change(now, Event::Fault, &[("why", why)]);
+            state.journal.log_event(now, Event::Fault, &[("why", why)]);
             false
         }
     }
 }
 
-/// Notes entries of lists that somebody else wrote and nobody can read.
-fn note_unreadable(state: &State, client: &mut Client) {
+/// Logs the number of list entries that could not be decoded.
+fn log_unreadable(state: &State, client: &mut Client) {
     let count = std::mem::take(&mut client.unreadable);
     if count > 0 {
         let fields = [("unreadable", count.into())];
-        state.journal.change(state.now(), Event::Fault, &fields);
+        state.journal.log_event(state.now(), Event::Fault, &fields);
     }
 }
 
-/// Opens links to nodes that were found, and closes those that are down to
-/// nodes that are there no more. False if the own record is not among them.
-fn compare(state: &Rc<State>, objects: &[Object]) -> bool {
-    let records = objects.iter().filter_map(|object| record(state, object));
+/// Opens links to listed nodes, and closes links that are down to nodes that
+/// are not listed. Returns false if this node is not listed.
+fn sync_links(state: &Rc<State>, objects: &[Object]) -> bool {
+    let records = objects.iter().filter_map(|object| decode(state, object));
     let nodes: Set<NodeId> = records.map(|record| record.node).collect();
     nodes.iter().for_each(|node| state.learn(*node));
     state.has_directory.set(true);
-    if is_incomplete(state) {
-        // A record that a restore took away is no goodbye of its node.
+    if may_be_incomplete(state) {
+        // A missing record may be lost by the restore and does not mean that
+        // its node has left.
         state.quotas.hear_of(nodes.len());
         return nodes.contains(&state.me);
     }
@@ -172,53 +184,53 @@
     nodes.contains(&state.me)
 }
 
-fn record(state: &State, object: &Object) -> Option<Record> {
+fn decode(state: &State, object: &Object) -> Option<Record> {
     match serde_json::from_slice::<Record>(&object.spec) {
         Ok(record) => Some(record),
         Err(error) => {
-            let why = format!("record {}: {error}", object.name);
+            let why = format!("cannot decode record {}: {error}", object.name);
             let fields = [("why", why.into())];
-            state.journal.change(state.now(), Event::Fault, &fields);
+            state.journal.log_event(state.now(), Event::Fault, &fields);
             None
         }
     }
 }
 
-fn name(state: &State) -> String {
+fn record_name(state: &State) -> String {
     state.me.to_string().replace(':', "-")
 }
 
-/// Writes this node's record; false if it is not known to be written.
+/// Writes the record of this node; returns true if the store confirms it.
 async fn register(state: &State, client: &mut Client) -> bool {
     let record = Record {
         node: state.me,
         zone: state.settings.zone.clone(),
         service: state.settings.service.clone(),
     };
-    let name = name(state);
+    let name = record_name(state);
     let create = store::create(Kind::Node, &name, &record);
-    let mut result = client.call(create, CALL_WITHIN).await;
-    let is_there = |answer: &Answer| answer.status == StatusCode::CONFLICT;
-    if result.as_ref().is_ok_and(is_there) {
+    let mut result = client.call(create, CALL_TIMEOUT).await;
+    let exists = |response: &Response| response.status == StatusCode::CONFLICT;
+    if result.as_ref().is_ok_and(exists) {
         let replace = store::replace(Kind::Node, &name, &record);
-        result = client.call(replace, CALL_WITHIN).await;
+        result = client.call(replace, CALL_TIMEOUT).await;
     }
     let error = match result {
-        Ok(answer) if answer.status.is_success() => return true,
-        Ok(answer) => Error::Status(answer.status.as_u16()),
+        Ok(response) if response.status.is_success() => return true,
+        Ok(response) => Error::Status(response.status.as_u16()),
         Err(error) => error,
     };
-    let why = format!("registration: {error}");
-    state.journal.change(state.now(), Event::Fault, &[("why", why.into())]);
+    let why = format!("cannot write the record of this node: {error}");
+    state.journal.log_event(state.now(), Event::Fault, &[("why", why.into())]);
     false
 }
 
-/// Removes this node's record: its instance has left for good.
+/// Removes the record of this node, after its instance has left.
 pub async fn unregister(state: &Rc<State>) {
     let mut client = Client::new(state);
-    let request = store::remove(Kind::Node, &name(state));
-    if let Err(error) = client.call(request, CALL_WITHIN).await {
+    let request = store::remove(Kind::Node, &record_name(state));
+    if let Err(error) = client.call(request, CALL_TIMEOUT).await {
         let fields = [("why", error.to_string().into())];
-        state.journal.change(state.now(), Event::Fault, &fields);
+        state.journal.log_event(state.now(), Event::Fault, &fields);
     }
 }
--- a/crates/walnutmoor/src/mesh/store/era.rs
+++ b/crates/walnutmoor/src/mesh/store/era.rs
@@ -1,11 +1,11 @@
 /*!
-The era of the store, as its answers and other nodes tell it.
+The era of the store, as reported by its responses and by other nodes.
 
-A store that has come back from an older copy of itself has lost what it
-acknowledged since, and says so by a higher era. Revisions of different eras
-don't compare, so whoever goes on from a revision, or relies on what it wrote,
-begins anew when the era rises. A watch may hang on over a restore and hear of
-nothing: one node that is told of a new era tells the others.
+A store that was restored from an older copy of itself has lost the latest
+acknowledged writes, and reports a higher era. Revisions of different eras are
+not comparable, so every task that continues from a revision, or relies on its
+own writes, starts over when the era rises. A watch may outlive a restore
+without any event, so a node that sees a new era announces it to the others.
 */
 
 use std::cell::{Cell, RefCell};
@@ -17,55 +17,57 @@
 
 use crate::mesh::{frame::Frame, journal::Event, state::State};
 
-/// What this node knows of the store's era.
+/// Tracks the highest era of the store that this node has seen.
 #[derive(Debug, Default)]
-pub(in crate::mesh) struct Eras {
-    /// The highest; 0 before the first.
-    last: watch::Sender<Era>,
-    /// When it rose last.
-    risen: Cell<Option<Millis>>,
-    /// The last one that was lower.
-    lower: Cell<Era>,
-    /// Why an answer told none.
-    unreadable: RefCell<Option<String>>,
+pub(in crate::mesh) struct EraTracker {
+    /// The highest era; 0 before the first.
+    highest: watch::Sender<Era>,
+    /// When the era last rose above an earlier one.
+    raised_at: Cell<Option<Millis>>,
+    /// The last reported era that was lower than the highest.
+    last_lower: Cell<Era>,
+    /// The last logged error in reading an era from a response.
+    last_error: RefCell<Option<String>>,
 }
 
-impl Eras {
-    /// The highest era that this node was told of; 0 before the first.
-    pub(in crate::mesh) fn last(&self) -> Era {
-        *self.last.borrow()
+impl EraTracker {
+    /// The highest era seen; 0 before the first.
+    pub(in crate::mesh) fn highest(&self) -> Era {
+        *self.highest.borrow()
     }
 
-    /// How long ago the store came back from an older copy, if it has.
+    /// The time since the store was last restored, if it was.
     pub(super) fn since_restore(&self, now: Millis) -> Option<Millis> {
-        self.risen.get().map(|risen| now.since(risen))
+        self.raised_at.get().map(|raised_at| now.since(raised_at))
     }
 
-    /// Sees each rise of the era from now on.
+    /// Returns a receiver that is notified of each later rise of the era.
     pub(super) fn subscribe(&self) -> watch::Receiver<Era> {
-        self.last.subscribe()
+        self.highest.subscribe()
     }
 }
 
-/// Notes the era of an answer, and tells it; 0 if the answer tells none.
-pub(super) fn note(state: &State, headers: &HeaderMap) -> Era {
+/// Records the era in the headers of a response and returns it, or 0 if there
+/// is none that can be read.
+pub(super) fn observe_response(state: &State, headers: &HeaderMap) -> Era {
     match header::era(headers) {
         Ok(Some(era)) => {
-            note_told(state, era);
+            observe_store(state, era);
             era
         }
         Ok(None) => Era::default(),
         Err(error) => {
-            note_unreadable(state, error.to_string());
+            log_unreadable(state, error.to_string());
             Era::default()
         }
     }
 }
 
-/// The store has told its era.
-fn note_told(state: &State, era: Era) {
-    state.eras.unreadable.take();
-    if !rise(state, era, "store") {
+/// Records an era that the store reported, and announces a rise to the other
+/// nodes.
+fn observe_store(state: &State, era: Era) {
+    state.eras.last_error.take();
+    if !raise(state, era, "store") {
         return;
     }
     for link in state.links() {
@@ -74,58 +76,59 @@
 }
 
 impl State {
-    /// Another node has told the store's era.
-    pub(in crate::mesh) fn hear_era(&self, era: Era) {
-        rise(self, era, "peer");
+    /// Records an era of the store that another node reported.
+    pub(in crate::mesh) fn observe_peer_era(&self, era: Era) {
+        raise(self, era, "peer");
     }
 }
 
-/// Takes a higher era; true if it is one, and not the first.
-fn rise(state: &State, era: Era, source: &str) -> bool {
+/// Raises the highest era. Returns true if it rose from an earlier one, so not
+/// for the first era.
+fn raise(state: &State, era: Era, source: &str) -> bool {
     let eras = &state.eras;
-    let last = eras.last();
-    if era < last {
-        note_lower(state, era, last);
+    let highest = eras.highest();
+    if era < highest {
+        log_lower(state, era, highest);
     }
-    if era <= last {
+    if era <= highest {
         return false;
     }
-    if last == Era::default() {
-        // Nothing was read in another era, so nothing begins anew.
-        eras.last.send_if_modified(|known| {
-            *known = era;
+    if highest == Era::default() {
+        // Nothing was read in an earlier era, so no task has to start over.
+        eras.highest.send_if_modified(|highest| {
+            *highest = era;
             false
         });
         return false;
     }
-    eras.risen.set(Some(state.now()));
-    eras.last.send_replace(era);
+    eras.raised_at.set(Some(state.now()));
+    eras.highest.send_replace(era);
     metrics::counter!("walnutmoor_store_era_changes_total").increment(1);
-    note_change(state, last, era, source);
+    log_change(state, highest, era, source);
     true
 }
 
-/// An answer from before a restore that came late, or a store that counts
-/// wrongly. Whoever asked begins anew, as it does for each change.
-fn note_lower(state: &State, era: Era, last: Era) {
-    if state.eras.lower.replace(era) != era && era != Era::default() {
-        note_change(state, last, era, "store");
+/// Logs an era that is lower than the highest: a late response from before a
+/// restore, or a store that does not count its eras correctly.
+fn log_lower(state: &State, era: Era, highest: Era) {
+    if state.eras.last_lower.replace(era) != era && era != Era::default() {
+        log_change(state, highest, era, "store");
     }
 }
 
-fn note_change(state: &State, from: Era, to: Era, source: &str) {
+fn log_change(state: &State, from: Era, to: Era, source: &str) {
     let fields = [
         ("from", from.0.into()),
         ("to", to.0.into()),
         ("source", source.into()),
     ];
-    state.journal.change(state.now(), Event::Era, &fields);
+    state.journal.log_event(state.now(), Event::Era, &fields);
 }
 
-fn note_unreadable(state: &State, why: String) {
-    let former = state.eras.unreadable.replace(Some(why.clone()));
-    if former.as_ref() != Some(&why) {
+fn log_unreadable(state: &State, why: String) {
+    let previous = state.eras.last_error.replace(Some(why.clone()));
+    if previous.as_ref() != Some(&why) {
         let fields = [("why", why.into())];
-        state.journal.change(state.now(), Event::Fault, &fields);
+        state.journal.log_event(state.now(), Event::Fault, &fields);
     }
 }
--- a/crates/walnutmoor/src/mesh/store/suspects.rs
+++ b/crates/walnutmoor/src/mesh/store/suspects.rs
@@ -1,11 +1,11 @@
 /*!
-Requests under which instances have ended, as the store keeps them.
+Requests suspected of ending instances, as persisted in the store.
 
-Links tell within milliseconds; the store is for nodes that links don't reach
-and for those that have just begun, also if all nodes have begun at once. An
-object a request; they are few, as only those are written under which two
-instances have ended. They are watched by the same few nodes that watch the
-desired state, which tell the others.
+Links carry this evidence within milliseconds. The store serves nodes that no
+link reaches and nodes that start later, also if all nodes restart at once. It
+holds one object per suspected request. A request is written only after two
+instances have ended under it, so there are few. The nodes that watch the
+desired state watch these objects too, and tell the other nodes.
 */
 
 use std::{rc::Rc, time::Duration};
@@ -20,153 +20,156 @@
 use walnutmoor_platform::store::{self, Kind, Object, Read};
 
 use super::{
-    Watchman, begin_anew,
-    client::{CALL_WITHIN, Client, Error},
-    watch::{LOOK_WATCH, WATCH, is_settled_watcher},
+    Backoff,
+    client::{CALL_TIMEOUT, Client, Error},
+    wait_before_resync,
+    watch::{WATCH_TIMEOUT, WATCHER_CHECK_INTERVAL, is_active_watcher},
 };
 use crate::mesh::{journal::Event, state::State, suspicion::STORE};
 
-/// Objects at most; an object has some 300 bytes. Callers that bring more
-/// such requests at once meet what links tell.
-const OBJECTS_MAX: usize = 256;
+/// Maximum number of objects in the store. Evidence on further requests
+/// travels on links only.
+const MAX_OBJECTS: usize = 256;
 
-/// How often a write is tried again whose object somebody else has changed in
-/// between.
-const CONFLICTS_MAX: u32 = 3;
+/// Attempts of a write whose object another node changes meanwhile.
+const MAX_WRITE_ATTEMPTS: u32 = 3;
 
-/// How long after a restore of the store what it keeps is compared with what
-/// this node knows: a write may have been made on a revision of the copy.
-const REPAIR_FOR: Millis = Millis(30_000);
+/// How long after a restore the objects in the store are compared with the
+/// evidence of this node. A write may have been based on a revision that the
+/// restore has undone.
+const REPAIR_PERIOD: Millis = Millis(30_000);
 
-/// The least pause between writes, so that no flood of such requests spends
-/// the store's rates.
-const WRITE_PAUSE: Duration = Duration::from_millis(100);
+/// Minimum interval between writes, which keeps many suspected requests within
+/// the rate limits of the store.
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Reads what the store keeps, and watches it where this node is one of those
-/// that watch.
-pub async fn suspects(state: Rc<State>) {
+/// Reads the objects in the store, and watches them while this node is a
+/// watcher.
+pub async fn sync_suspects(state: Rc<State>) {
     let mut client = Client::new(&state);
-    let mut watchman = Watchman::new("suspects");
+    let mut backoff = Backoff::new("suspects");
     let mut eras = state.eras.subscribe();
     let mut since = None;
     loop {
         let read = match since {
             Some(since) => tokio::select! {
-                news = changes(&state, &mut client, since) => news,
+                result = watch_changes(&state, &mut client, since) => result,
                 _ = eras.changed() => Err(Error::Restored),
             },
             None => {
                 eras.mark_unchanged();
-                all(&state, &mut client).await.map(|(_, at)| at)
+                read_all(&state, &mut client).await.map(|(_, at)| at)
             }
         };
         match read {
             Ok(stamp) => {
-                watchman.good(&state);
+                backoff.on_success(&state);
                 since = Some(stamp);
             }
-            // The history is gone: read all again, at once.
+            // The store no longer has the history since this revision: read
+            // all objects again, at once.
             Err(Error::Status(410)) => since = None,
             Err(Error::Restored) => {
                 client.disconnect();
                 since = None;
-                begin_anew(&state).await;
+                wait_before_resync(&state).await;
             }
             Err(error) => {
                 since = None;
-                watchman.bad(&state, &error).await;
+                backoff.on_failure(&state, &error).await;
                 continue;
             }
         }
-        if !is_settled_watcher(&state) {
+        if !is_active_watcher(&state) {
             client.disconnect();
             since = None;
-            while !is_settled_watcher(&state) {
-                sleep(LOOK_WATCH).await;
+            while !is_active_watcher(&state) {
+                sleep(WATCHER_CHECK_INTERVAL).await;
             }
         }
     }
 }
 
-/// Reads all objects; also the stamp from which to watch them.
-async fn all(
+/// Reads all objects, and returns them with the stamp from which to watch.
+async fn read_all(
     state: &Rc<State>,
     client: &mut Client,
 ) -> Result<(Vec<Object>, Stamp), Error> {
     let (objects, stamp) = client.list(Kind::Suspect, false).await?;
-    objects.iter().for_each(|object| hear(state, object));
-    if is_lately_restored(state) {
+    objects.iter().for_each(|object| record(state, object));
+    if is_recently_restored(state) {
         repair(state, |name, evidence| {
-            let kept = objects.iter().find(|object| object.name == name);
-            !kept.is_some_and(|object| covers(object, evidence))
+            let stored = objects.iter().find(|object| object.name == name);
+            !stored.is_some_and(|object| covers(object, evidence))
         });
     }
     Ok((objects, stamp))
 }
 
-/// True if the store may lack what was written, as it has come back from an
-/// older copy. Each node has written what it found, and none would again.
-fn is_lately_restored(state: &State) -> bool {
+/// True if the store was restored recently and may have lost evidence, which
+/// no node would write again by itself.
+fn is_recently_restored(state: &State) -> bool {
     let since = state.eras.since_restore(state.now());
-    since.is_some_and(|since| since < REPAIR_FOR)
+    since.is_some_and(|since| since < REPAIR_PERIOD)
 }
 
-/// Has all written again that this node knows and the store lacks.
+/// Schedules a write of all evidence that this node has and the store lacks.
 fn repair(state: &State, lacks: impl Fn(&str, &Evidence) -> bool) {
-    for evidence in state.worst_evidence(OBJECTS_MAX) {
+    for evidence in state.worst_evidence(MAX_OBJECTS) {
         if lacks(&evidence.fingerprint.to_string(), &evidence) {
             state.write_suspect(evidence.fingerprint);
         }
     }
 }
 
-/// Waits for the next changes; the stamp from which to watch on.
-async fn changes(
+/// Waits for the next changes and returns the stamp from which to watch on.
+async fn watch_changes(
     state: &Rc<State>,
     client: &mut Client,
     since: Stamp,
 ) -> Result<Stamp, Error> {
-    let read = Read::Watch { since: since.revision, wait: WATCH };
-    let answer = client.read(Kind::Suspect, &read).await?;
-    let news = store::news(&answer.body)?;
-    if answer.era != since.era {
+    let read = Read::Watch { since: since.revision, wait: WATCH_TIMEOUT };
+    let response = client.read(Kind::Suspect, &read).await?;
+    let update = store::news(&response.body)?;
+    if response.era != since.era {
         return Err(Error::Restored);
     }
-    let there = news.changes.into_iter().filter(|change| !change.removed);
-    let objects: Vec<Object> = there.map(|change| change.object).collect();
-    objects.iter().for_each(|object| hear(state, object));
-    if is_lately_restored(state) {
+    let written = update.changes.into_iter().filter(|change| !change.removed);
+    let objects: Vec<Object> = written.map(|change| change.object).collect();
+    objects.iter().for_each(|object| record(state, object));
+    if is_recently_restored(state) {
         repair(state, |name, evidence| {
             let changed = objects.iter().find(|object| object.name == name);
             changed.is_some_and(|object| !covers(object, evidence))
         });
     }
-    Ok(Stamp { era: answer.era, revision: news.revision })
+    Ok(Stamp { era: response.era, revision: update.revision })
 }
 
-fn hear(state: &Rc<State>, object: &Object) {
+fn record(state: &Rc<State>, object: &Object) {
     match serde_json::from_slice::<Evidence>(&object.spec) {
         Ok(evidence) => state.hear(&[evidence], STORE),
         Err(error) => {
-            let why = format!("suspect {}: {error}", object.name);
+            let why =
+                format!("cannot decode suspect {}: {error}", object.name);
             let fields = [("why", why.into())];
-            state.journal.change(state.now(), Event::Fault, &fields);
+            state.journal.log_event(state.now(), Event::Fault, &fields);
         }
     }
 }
 
-/// Writes what this node has found to the store, and takes away there what
-/// has lapsed.
+/// Writes the evidence of this node to the store, and removes lapsed objects
+/// from it.
 pub async fn write_suspects(state: Rc<State>) {
     let mut client = Client::new(&state);
-    let mut watchman = Watchman::new("writing suspects");
+    let mut backoff = Backoff::new("writing suspects");
     loop {
-        let done = if let Some(request) = state.suspicion.next_write() {
-            let done = write(&state, &mut client, request).await;
-            if done.is_err() {
+        let result = if let Some(request) = state.suspicion.next_write() {
+            let result = write(&state, &mut client, request).await;
+            if result.is_err() {
                 state.suspicion.write_again(request);
             }
-            done
+            result
         } else if let Some(request) = state.suspicion.next_removal() {
             remove(&mut client, request).await
         } else {
@@ -174,15 +177,15 @@
             state.suspicion.has_writes.notified().await;
             continue;
         };
-        match done {
-            Ok(()) => watchman.good(&state),
-            Err(error) => watchman.bad(&state, &error).await,
+        match result {
+            Ok(()) => backoff.on_success(&state),
+            Err(error) => backoff.on_failure(&state, &error).await,
         }
-        sleep(WRITE_PAUSE).await;
+        sleep(WRITE_INTERVAL).await;
     }
 }
 
-/// Writes what is known of a request, with what others have written of it.
+/// Writes the evidence on a request, merged with that of other nodes.
 async fn write(
     state: &Rc<State>,
     client: &mut Client,
@@ -190,31 +193,32 @@
 ) -> Result<(), Error> {
     let name = request.to_string();
     let mut conflict = Error::Status(StatusCode::CONFLICT.as_u16());
-    for _ in 0..CONFLICTS_MAX {
-        let (objects, _) = all(state, client).await?;
-        let there = objects.iter().find(|object| object.name == name);
-        // It may have lapsed meanwhile.
+    for _ in 0..MAX_WRITE_ATTEMPTS {
+        let (objects, _) = read_all(state, client).await?;
+        let existing = objects.iter().find(|object| object.name == name);
+        // The evidence may have lapsed meanwhile.
         let Some(evidence) = state.evidence(request) else {
             return Ok(());
         };
-        // All nodes that meet a crash write; the first one is enough.
-        if there.is_some_and(|object| covers(object, &evidence)) {
+        // All nodes that see a crash write the same evidence; one write is
+        // enough.
+        if existing.is_some_and(|object| covers(object, &evidence)) {
             return Ok(());
         }
-        let call = match there {
+        let call = match existing {
             Some(object) => {
                 let revision = object.revision;
                 store::replace_at(Kind::Suspect, &name, revision, &evidence)
             }
-            None if objects.len() < OBJECTS_MAX => {
+            None if objects.len() < MAX_OBJECTS => {
                 store::create(Kind::Suspect, &name, &evidence)
             }
             None => {
-                note_full(state);
+                log_full(state);
                 return Ok(());
             }
         };
-        let status = client.call(call, CALL_WITHIN).await?.status;
+        let status = client.call(call, CALL_TIMEOUT).await?.status;
         if status.is_success() {
             return Ok(());
         }
@@ -226,16 +230,16 @@
     Err(conflict)
 }
 
-/// True if an object tells all of this evidence.
+/// True if an object holds all of this evidence.
 fn covers(object: &Object, evidence: &Evidence) -> bool {
-    let kept = serde_json::from_slice::<Evidence>(&object.spec);
-    // One that can't be read is written anew.
-    kept.is_ok_and(|mut kept| !kept.merge(evidence))
+    let stored = serde_json::from_slice::<Evidence>(&object.spec);
+    // An object that cannot be decoded is overwritten.
+    stored.is_ok_and(|mut stored| !stored.merge(evidence))
 }
 
-fn note_full(state: &State) {
-    let why = "the store keeps no more suspects".into();
-    state.journal.change(state.now(), Event::Fault, &[("why", why)]);
+fn log_full(state: &State) {
+    let why = "the store holds its maximum number of suspects".into();
+    state.journal.log_event(state.now(), Event::Fault, &[("why", why)]);
 }
 
 async fn remove(
@@ -243,8 +247,8 @@
     request: Fingerprint,
 ) -> Result<(), Error> {
     let call = store::remove(Kind::Suspect, &request.to_string());
-    let status = client.call(call, CALL_WITHIN).await?.status;
-    // Another watcher may have been first.
+    let status = client.call(call, CALL_TIMEOUT).await?.status;
+    // Another watcher may have removed the object already.
     match status.is_success() || status == StatusCode::NOT_FOUND {
         true => Ok(()),
         false => Err(Error::Status(status.as_u16())),
--- a/crates/walnutmoor/src/mesh/store/watch.rs
+++ b/crates/walnutmoor/src/mesh/store/watch.rs
@@ -1,5 +1,6 @@
 /*!
-The desired state: read once, and then watched by those that watch.
+The desired state in the store: read once, and then watched while this node is
+a watcher.
 */
 
 use std::{rc::Rc, time::Duration};
@@ -16,131 +17,138 @@
 };
 
 use super::{
-    Watchman, begin_anew,
+    Backoff,
     client::{Client, Error},
+    wait_before_resync,
 };
 use crate::mesh::{desired::Source, journal::Event, state::State};
 
-/// How long the store may hold a watch: as long as it does. A dead connection
-/// is found by keep-alive probes, not by this.
-pub(super) const WATCH: Millis = Millis(30_000);
+/// How long the store may hold a watch without a change. Keep-alive probes
+/// find a dead connection sooner.
+pub(super) const WATCH_TIMEOUT: Millis = Millis(30_000);
 
-/// The pause before a node that has just begun asks whether others watch:
-/// its links are open by then.
-const SETTLE: Duration = Duration::from_millis(1_000);
+/// Uptime before a node takes part in the election of watchers, so that its
+/// links are open by then.
+const LINK_SETUP_TIME: Duration = Duration::from_millis(1_000);
 
-/// The pause between looks whether this node is to watch.
-pub(super) const LOOK_WATCH: Duration = Duration::from_millis(125);
+/// Interval at which a node checks whether it should watch.
+pub(super) const WATCHER_CHECK_INTERVAL: Duration = Duration::from_millis(125);
 
-/// The pause between looks whether peers have told what they have.
-const LOOK_PEERS: Duration = Duration::from_millis(5);
+/// Interval at which a starting node checks whether peers have announced a
+/// newer desired state.
+const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Keeps the desired state in force: reads it, and then each change, for as
-/// long as this node is one of those that watch.
-pub async fn desired(state: Rc<State>) {
+/// Reads the desired state and then adopts each change, while this node is a
+/// watcher.
+pub async fn sync_desired(state: Rc<State>) {
     let mut client = Client::new(&state);
-    let mut watchman = Watchman::new("desired state");
+    let mut backoff = Backoff::new("desired state");
     let mut eras = state.eras.subscribe();
     let mut since = None;
     loop {
         let read = match since {
             Some(since) => tokio::select! {
-                news = changes(&state, &mut client, since) => news,
+                result = watch_changes(&state, &mut client, since) => result,
                 _ = eras.changed() => Err(Error::Restored),
             },
             None => {
                 eras.mark_unchanged();
-                all(&state, &mut client).await
+                read_all(&state, &mut client).await
             }
         };
         match read {
             Ok(stamp) => {
-                watchman.good(&state);
-                state.note_store(true);
+                backoff.on_success(&state);
+                state.record_store_call(true);
                 since = Some(stamp);
             }
-            // The history is gone: read all again, at once.
+            // The store no longer has the history since this revision: read
+            // the state again, at once.
             Err(Error::Status(410)) => since = None,
             Err(Error::Restored) => {
-                // The watch may hang on for what was given out before.
+                // The pending watch may wait for a revision from before the
+                // restore.
                 client.disconnect();
                 since = None;
-                begin_anew(&state).await;
+                wait_before_resync(&state).await;
             }
             Err(error) => {
                 since = None;
-                state.note_store(false);
-                watchman.bad(&state, &error).await;
+                state.record_store_call(false);
+                backoff.on_failure(&state, &error).await;
             }
         }
         if !must_watch(&state) {
             client.disconnect();
-            rest(&state).await;
+            wait_until_watcher(&state).await;
             since = None;
         }
     }
 }
 
-/// Reads the desired state; the stamp from which to watch it.
-async fn all(state: &Rc<State>, client: &mut Client) -> Result<Stamp, Error> {
+/// Reads the desired state and returns the stamp from which to watch.
+async fn read_all(
+    state: &Rc<State>,
+    client: &mut Client,
+) -> Result<Stamp, Error> {
     let (objects, stamp) = client.list(Kind::Desired, false).await?;
     for object in objects.iter().filter(|object| store::is_desired(object)) {
-        hear_peers(state, stamp.era, object).await;
+        wait_for_peers(state, stamp.era, object).await;
         adopt(state, stamp.era, object);
     }
     Ok(stamp)
 }
 
-/// Waits for what peers have, where this node has nothing yet: a store that
-/// has come back from an older copy does not know the newest.
-async fn hear_peers(state: &State, era: Era, object: &Object) {
+/// Gives peers time to announce a newer desired state if this node has none
+/// yet, as a restored store may lack the newest one.
+async fn wait_for_peers(state: &State, era: Era, object: &Object) {
     let since = state.now();
-    // One that can't be read is refused, and logged, when it is adopted.
+    // A state that cannot be decoded is rejected and logged by `adopt`.
     let version = desired::version(&object.spec).unwrap_or_default();
     let stamp = Stamp { era, revision: object.revision };
     let offered = Edition { version, stamp };
-    while state.may_hear_newer(offered, state.now().since(since)) {
-        sleep(LOOK_PEERS).await;
+    while state.awaits_newer(offered, state.now().since(since)) {
+        sleep(PEER_CHECK_INTERVAL).await;
     }
 }
 
-/// Waits for the next changes; the stamp from which to watch on.
-async fn changes(
+/// Waits for the next changes and returns the stamp from which to watch on.
+async fn watch_changes(
     state: &Rc<State>,
     client: &mut Client,
     since: Stamp,
 ) -> Result<Stamp, Error> {
-    let read = Read::Watch { since: since.revision, wait: WATCH };
-    let answer = client.read(Kind::Desired, &read).await?;
-    let news = store::news(&answer.body)?;
-    let era = answer.era;
+    let read = Read::Watch { since: since.revision, wait: WATCH_TIMEOUT };
+    let response = client.read(Kind::Desired, &read).await?;
+    let update = store::news(&response.body)?;
+    let era = response.era;
     if era != since.era {
         return Err(Error::Restored);
     }
-    let there = news.changes.iter().filter(|change| !change.removed);
-    there
+    let written = update.changes.iter().filter(|change| !change.removed);
+    written
         .filter(|change| store::is_desired(&change.object))
         .for_each(|change| adopt(state, era, &change.object));
-    Ok(Stamp { era, revision: news.revision })
+    Ok(Stamp { era, revision: update.revision })
 }
 
-/// True if nobody would tell this node of a change, or too few could.
+/// True if this node has no desired state yet, or is a watcher.
 fn must_watch(state: &State) -> bool {
-    state.edition().is_none() || is_settled_watcher(state)
+    state.edition().is_none() || is_active_watcher(state)
 }
 
-/// True if this node is one of those that watch, and has had the time to link
-/// to the others: at a start all nodes would take themselves for one.
-pub(super) fn is_settled_watcher(state: &State) -> bool {
-    let settled = state.now().0 >= SETTLE.as_millis() as u64;
-    settled && state.is_watcher()
+/// True if this node is a watcher and has been up long enough to link to the
+/// others. Without the wait every starting node would elect itself.
+pub(super) fn is_active_watcher(state: &State) -> bool {
+    let is_ready = state.now().0 >= LINK_SETUP_TIME.as_millis() as u64;
+    is_ready && state.is_watcher()
 }
 
-/// Leaves the watch to others, until this node is one of those that watch.
-async fn rest(state: &Rc<State>) {
+/// Waits, without a watch, until this node has to watch again.
+async fn wait_until_watcher(state: &Rc<State>) {
     set_watches(state, false);
     while !must_watch(state) {
-        sleep(LOOK_WATCH).await;
+        sleep(WATCHER_CHECK_INTERVAL).await;
     }
     set_watches(state, true);
 }
@@ -148,7 +156,7 @@
 fn set_watches(state: &State, watches: bool) {
     state.desired.watches.set(watches);
     let fields = [("watches", watches.into())];
-    state.journal.change(state.now(), Event::Desired, &fields);
+    state.journal.log_event(state.now(), Event::Desired, &fields);
 }
 
 fn adopt(state: &State, era: Era, object: &Object) {
--- a/crates/walnutmoor/src/mesh/suspicion.rs
+++ b/crates/walnutmoor/src/mesh/suspicion.rs
@@ -250,7 +250,7 @@
             ("age_ms", evidence.age.0.into()),
             ("source", source.into()),
         ];
-        self.journal.change(self.now(), Event::Suspicion, &fields);
+        self.journal.log_event(self.now(), Event::Suspicion, &fields);
     }
 
     /// Tells all linked nodes of a request, together with others that come
--- a/crates/walnutmoor/tests/http1.rs
+++ b/crates/walnutmoor/tests/http1.rs
@@ -1,14 +1,14 @@
-//! The reading of requests: cases as data, and a fuzz against a plain reader
-//! that sees all bytes at once.
+//! Decodes requests: table-driven cases, and a fuzz test against a reference
+//! parser that sees all bytes at once.
 
 use rand::{Rng, RngExt, SeedableRng, rngs::SmallRng};
 use serde::Deserialize;
 use walnutmoor::http1::{Decoder, Error, Event};
 
-/// Bytes of a head at most, in these tests.
-const HEAD_MAX: usize = 160;
+/// Maximum size of a request head in these tests.
+const MAX_HEAD_BYTES: usize = 160;
 
-/// Cases of the fuzz in a common run; `WALNUTMOOR_CASES` sets another number.
+/// Default number of fuzz cases; `WALNUTMOOR_CASES` overrides it.
 const CASES: u64 = 20_000;
 
 #[derive(Deserialize)]
@@ -23,9 +23,9 @@
     serde_saphyr::from_str(text).unwrap()
 }
 
-/// Reads pieces one after the other, and tells what they were read as.
+/// Feeds the pieces one after the other and describes the decoded requests.
 fn read(pieces: &[&[u8]]) -> Vec<String> {
-    let mut decoder = Decoder::new(HEAD_MAX);
+    let mut decoder = Decoder::new(MAX_HEAD_BYTES);
     let mut reads = Vec::new();
     let mut line = String::new();
     let mut closes = false;
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn bytes_are_read_as_the_cases_say_however_they_are_split() {
+fn cases_decode_as_expected_however_they_are_split() {
     for case in cases() {
         let bytes = case.bytes.as_bytes();
 
@@ -81,10 +81,9 @@
     }
 }
 
-/// What a reader makes of bytes that sees all of them at once, looks for
-/// the next thing it knows and slices.
+/// A reference parser that sees all bytes at once and slices them.
 mod oracle {
-    use super::HEAD_MAX;
+    use super::MAX_HEAD_BYTES;
 
     pub fn read(bytes: &[u8]) -> Vec<String> {
         let mut rest = bytes;
@@ -96,8 +95,8 @@
                     reads.push("wait".into());
                     return reads;
                 }
-                Err(why) => {
-                    reads.push(why.into());
+                Err(error) => {
+                    reads.push(error.into());
                     return reads;
                 }
             }
@@ -112,45 +111,46 @@
         }
         let end = rest.windows(4).position(|w| w == b"\r\n\r\n");
         let seen = end.map_or(rest.len(), |end| end + 4);
-        if seen > HEAD_MAX {
+        if seen > MAX_HEAD_BYTES {
             return Err("too large");
         }
         let head = &rest[..seen];
-        let feeds = (0..seen).filter(|at| head[*at] == b'\n');
-        let mut bare = feeds.filter(|at| *at == 0 || head[at - 1] != b'\r');
+        let line_feeds = (0..seen).filter(|at| head[*at] == b'\n');
+        let mut bare =
+            line_feeds.filter(|at| *at == 0 || head[at - 1] != b'\r');
         if bare.next().is_some() {
             return Err("malformed");
         }
         if end.is_none() {
             return Ok(None);
         }
-        let (first, old, headers) = lines(head).ok_or("malformed")?;
+        let (first, is_http_1_0, headers) = lines(head).ok_or("malformed")?;
         *rest = &rest[seen..];
-        let one = |name: &str| {
-            let same = headers.iter().filter(|(n, _)| n == name);
-            same.map(|(_, value)| value.as_str()).collect::<Vec<_>>()
+        let values_of = |name: &str| {
+            let matching = headers.iter().filter(|(n, _)| n == name);
+            matching.map(|(_, value)| value.as_str()).collect::<Vec<_>>()
         };
-        let hosts = one("host").len();
-        if hosts != 1 && !(old && hosts == 0) {
+        let hosts = values_of("host").len();
+        if hosts != 1 && !(is_http_1_0 && hosts == 0) {
             return Err("malformed");
         }
-        let lengths = one("content-length");
-        let codings = one("transfer-encoding");
+        let lengths = values_of("content-length");
+        let codings = values_of("transfer-encoding");
         let body = match (&lengths[..], &codings[..]) {
             ([], []) => Some(String::new()),
-            ([length], []) => by_length(rest, length)?,
+            ([length], []) => sized_body(rest, length)?,
             ([], [coding])
-                if coding.eq_ignore_ascii_case("chunked") && !old =>
+                if coding.eq_ignore_ascii_case("chunked") && !is_http_1_0 =>
             {
-                in_chunks(rest)?
+                chunked_body(rest)?
             }
             _ => return Err("malformed"),
         };
-        let closes = one("connection")
+        let closes = values_of("connection")
             .iter()
             .flat_map(|value| value.split(','))
-            .any(|word| word.trim().eq_ignore_ascii_case("close"));
-        let closes = if closes || old { " closes" } else { "" };
+            .any(|token| token.trim().eq_ignore_ascii_case("close"));
+        let closes = if closes || is_http_1_0 { " closes" } else { "" };
         Ok(body.map(|body| format!("{first} {body}{closes}")))
     }
 
@@ -160,40 +160,42 @@
         let text = std::str::from_utf8(head).ok()?.strip_suffix("\r\n\r\n")?;
         let mut lines = text.split("\r\n");
         let (first, version) = lines.next()?.rsplit_once(' ')?;
-        let old = match version {
+        let is_http_1_0 = match version {
             "HTTP/1.1" => false,
             "HTTP/1.0" => true,
             _ => return None,
         };
         let (method, target) = first.split_once(' ')?;
-        let token = |b: u8| b.is_ascii_alphanumeric() || b"-+".contains(&b);
-        if method.is_empty() || !method.bytes().all(token) {
+        let is_token_byte =
+            |b: u8| b.is_ascii_alphanumeric() || b"-+".contains(&b);
+        if method.is_empty() || !method.bytes().all(is_token_byte) {
             return None;
         }
-        let fair = |b: u8| b.is_ascii_graphic();
-        if !target.starts_with('/') || !target.bytes().all(fair) {
+        let is_visible = |b: u8| b.is_ascii_graphic();
+        if !target.starts_with('/') || !target.bytes().all(is_visible) {
             return None;
         }
         let mut headers = Vec::new();
         for line in lines {
             let (name, value) = line.split_once(':')?;
-            if name.is_empty() || !name.bytes().all(token) {
+            if name.is_empty() || !name.bytes().all(is_token_byte) {
                 return None;
             }
-            let fair = |b: u8| b == b'\t' || (b' '..=b'~').contains(&b);
-            if !value.bytes().all(fair) {
+            let is_value_byte =
+                |b: u8| b == b'\t' || (b' '..=b'~').contains(&b);
+            if !value.bytes().all(is_value_byte) {
                 return None;
             }
             let value = value.trim_matches([' ', '\t']);
             headers.push((name.to_ascii_lowercase(), value.to_string()));
         }
-        Some((first.to_string(), old, headers))
+        Some((first.to_string(), is_http_1_0, headers))
     }
 
-    fn by_length(rest: &mut &[u8], length: &str) -> Part<String> {
-        let digits = length.bytes().all(|byte| byte.is_ascii_digit());
+    fn sized_body(rest: &mut &[u8], length: &str) -> Part<String> {
+        let is_digits = length.bytes().all(|byte| byte.is_ascii_digit());
         let length: u64 = match length.parse() {
-            Ok(length) if digits => length,
+            Ok(length) if is_digits => length,
             _ => return Err("malformed"),
         };
         if length > rest.len() as u64 {
@@ -204,22 +206,22 @@
         Ok(Some(String::from_utf8_lossy(body).into_owned()))
     }
 
-    fn line<'a>(rest: &mut &'a [u8], most: usize) -> Part<&'a [u8]> {
+    fn line<'a>(rest: &mut &'a [u8], max_len: usize) -> Part<&'a [u8]> {
         let Some(end) = rest.iter().position(|byte| *byte == b'\n') else {
-            let long = rest.len() > most;
-            return if long { Err("malformed") } else { Ok(None) };
+            let is_too_long = rest.len() > max_len;
+            return if is_too_long { Err("malformed") } else { Ok(None) };
         };
         let line = &rest[..end];
         *rest = &rest[end + 1..];
         match line.strip_suffix(b"\r") {
-            Some(line) if end < most && !line.contains(&b'\r') => {
+            Some(line) if end < max_len && !line.contains(&b'\r') => {
                 Ok(Some(line))
             }
             _ => Err("malformed"),
         }
     }
 
-    fn in_chunks(rest: &mut &[u8]) -> Part<String> {
+    fn chunked_body(rest: &mut &[u8]) -> Part<String> {
         let mut body = String::new();
         loop {
             let Some(size) = line(rest, 256)? else {
@@ -228,8 +230,8 @@
             let size = std::str::from_utf8(size).map_err(|_| "malformed")?;
             let size = size.split(';').next().unwrap_or_default();
             let size = size.trim_end_matches([' ', '\t']);
-            let hex = size.bytes().all(|byte| byte.is_ascii_hexdigit());
-            if size.is_empty() || size.len() > 15 || !hex {
+            let is_hex = size.bytes().all(|byte| byte.is_ascii_hexdigit());
+            if size.is_empty() || size.len() > 15 || !is_hex {
                 return Err("malformed");
             }
             let size =
@@ -259,9 +261,8 @@
     }
 }
 
-/// Some requests in a row, most of them sound, with a few bytes changed at
-/// times.
-fn draw(rng: &mut SmallRng) -> Vec<u8> {
+/// Generates pipelined requests, most of them valid, some with changed bytes.
+fn generate(rng: &mut SmallRng) -> Vec<u8> {
     let mut bytes = Vec::new();
     for _ in 0..rng.random_range(1..4) {
         let head = "GET /a HTTP/1.1\r\nhost: x\r\n";
@@ -291,12 +292,12 @@
 }
 
 fn mutate(rng: &mut SmallRng, bytes: &mut Vec<u8>) {
-    const ODD: &[u8] = b"\r\n :,;0159afGx/\t-+\0";
+    const REPLACEMENTS: &[u8] = b"\r\n :,;0159afGx/\t-+\0";
     let at = rng.random_range(0..bytes.len());
-    let odd = ODD[rng.random_range(0..ODD.len())];
+    let byte = REPLACEMENTS[rng.random_range(0..REPLACEMENTS.len())];
     match rng.random_range(0..4) {
-        0 => bytes[at] = odd,
-        1 => bytes.insert(at, odd),
+        0 => bytes[at] = byte,
+        1 => bytes.insert(at, byte),
         2 => drop(bytes.remove(at)),
         _ => bytes.truncate(at.max(1)),
     }
@@ -306,8 +307,8 @@
     let mut rest = bytes;
     let mut pieces = Vec::new();
     while !rest.is_empty() {
-        let most = rest.len().min(40);
-        let (piece, left) = rest.split_at(rng.random_range(1..=most));
+        let max_len = rest.len().min(40);
+        let (piece, left) = rest.split_at(rng.random_range(1..=max_len));
         pieces.push(piece);
         rest = left;
     }
@@ -315,12 +316,12 @@
 }
 
 #[test]
-fn drawn_bytes_are_read_as_by_a_reader_that_sees_all_at_once() {
+fn random_requests_decode_as_by_the_reference_parser() {
     let count = std::env::var("WALNUTMOOR_CASES");
     let count = count.map_or(CASES, |count| count.parse().unwrap());
     for seed in 0..count {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let bytes = draw(&mut rng);
+        let bytes = generate(&mut rng);
         let pieces = split(&mut rng, &bytes);
 
         let reads = read(&pieces);
--- a/crates/walnutmoor/tests/mesh/desired.rs
+++ b/crates/walnutmoor/tests/mesh/desired.rs
@@ -1,4 +1,4 @@
-//! The desired state and the directory.
+//! Changes of the desired state and of the directory of nodes.
 
 use walnutmoor_core::table::Effect;
 use walnutmoor_standin::soak::proxy::Mode;
@@ -6,7 +6,7 @@
 use crate::fixture::{World, desired, route, routes, run, until};
 
 #[test]
-fn a_new_route_comes_into_force_everywhere_and_a_dropped_one_goes() {
+fn a_change_adds_and_removes_routes_at_all_nodes() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
         let mut next = routes();
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_change_is_seen_after_the_store_forgets_its_history() {
+fn a_change_is_adopted_after_the_store_compacts_its_history() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
         let mut next = routes();
@@ -37,12 +37,12 @@
 }
 
 #[test]
-fn a_state_that_can_not_be_read_leaves_the_former_one_in_force() {
+fn an_undecodable_state_leaves_the_active_one_unchanged() {
     run(async {
         let world = World::start(&["desk"]).await;
 
         world.store.write_desired("{\"version\":2,\"resources\":[{}]}");
-        until("it is reported", || async {
+        until("the fault is logged", || async {
             world.pairs[0].node.log().contains("\"event\":\"fault\"")
         })
         .await;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_node_that_joins_gets_work_from_the_others() {
+fn a_joining_node_receives_calls_from_the_others() {
     run(async {
         let mut world = World::start(&["front", "desk"]).await;
 
@@ -68,33 +68,34 @@
 }
 
 #[test]
-fn a_node_cut_off_from_the_store_learns_a_change_from_its_peers() {
+fn a_node_that_cannot_reach_the_store_fetches_a_change_from_a_peer() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
         let mut next = routes();
         next.push(route("search", Effect::Idempotent, &[("desk", 1)]));
 
-        // Neither side sees the connection end.
+        // Silent: neither side sees the connection close.
         world.pairs[0].store.set(Mode::Silent);
         world.store.write_desired(&desired(2, &next));
 
         world.served(0, "search", "cut-off").await;
-        // A thread writes the log, some milliseconds after the answer.
+        // The log is written by a separate thread, after the response.
         let adopted = || {
             let log = world.pairs[0].node.log();
             let line = log.lines().find(|l| l.contains("\"version\":2"));
             line.map(str::to_string)
         };
-        until("the log tells of it", || async { adopted().is_some() }).await;
+        until("the adoption is logged", || async { adopted().is_some() })
+            .await;
         assert!(adopted().unwrap().contains("\"source\":\"peer\""));
     });
 }
 
 #[test]
-fn a_node_that_has_left_for_good_is_forgotten() {
+fn a_node_that_has_left_is_removed_from_the_directory() {
     run(async {
         let world = World::start(&["front", "desk", "desk"]).await;
-        let gone = world.pairs[2].node.addresses().peers;
+        let departed = world.pairs[2].node.addresses().peers;
 
         assert_eq!(world.pairs[2].instance.leave().await, 200);
         world.pairs[2].node.signal("TERM");
@@ -105,20 +106,20 @@
         .await;
         until("the others close their links to it", || async {
             let log = world.pairs[0].node.log();
-            log.contains(&format!("\"gone\":\"{gone}\""))
+            log.contains(&format!("\"gone\":\"{departed}\""))
         })
         .await;
     });
 }
 
 #[test]
-fn a_split_is_kept_to_its_shares() {
+fn a_split_follows_its_weights_exactly() {
     run(async {
         let world = World::start(&["front", "desk", "board"]).await;
-        let parts = [("desk", 75), ("board", 25)];
-        let next = vec![route("browse", Effect::Idempotent, &parts)];
+        let weights = [("desk", 75), ("board", 25)];
+        let next = vec![route("browse", Effect::Idempotent, &weights)];
         world.store.write_desired(&desired(2, &next));
-        until("the split is in force", || async {
+        until("the split is active", || async {
             world.pairs[0].node.log().contains("\"version\":2")
         })
         .await;
@@ -133,15 +134,15 @@
 }
 
 #[test]
-fn watching_costs_the_store_a_call_for_each_change_only() {
+fn watching_costs_the_store_one_call_per_change() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
         for n in 0..50 {
             world.served(0, "order", &format!("quiet-{n}")).await;
         }
 
-        // Two lists, two watches and a registration for each of two nodes,
-        // and a watch that ends for each of the two records.
+        // Per node: two lists, two watches and a registration. Each of the two
+        // node records also completes a watch.
         assert!(world.store.calls() <= 16, "{}", world.store.calls());
     });
 }
--- a/crates/walnutmoor/tests/mesh/restore.rs
+++ b/crates/walnutmoor/tests/mesh/restore.rs
@@ -1,18 +1,8 @@
-//! The store comes back from an older copy of itself.
+//! Restores of the store from an older copy of itself.
 //!
-//! It had been away for two seconds, and three changes that the operator wrote
-//! after that were acknowledged and never in force. Their revisions had been
-//! given out before, to desired states that the nodes had seen, and a node took
-//! whatever had no larger revision for older. Requests went on by the former
-//! routes until a fourth change came at the first revision that was new. The
-//! lines of a node that watched:
-//!
-//! ```text
-//! "event":"desired","revision":7,"source":"store","version":7
-//! "event":"era","from":1,"to":2
-//! "event":"desired","passed_over":true,"revision":6,"revision_in_force":7,
-//!     "version":9,"version_in_force":7
-//! ```
+//! A restored store assigns revisions again that nodes have already seen.
+//! Changes after a restore must be adopted nevertheless, and nodes whose
+//! records were lost must register again.
 
 use walnutmoor_core::{
     id::Era,
@@ -22,7 +12,7 @@
 
 use crate::fixture::{World, desired, route, routes, run, until};
 
-/// The routes of a version: each has one that no other has.
+/// The routes of a version. Each version has a route that no other has.
 fn routes_of(version: u64) -> Vec<Route> {
     let name = format!("search{version}");
     let mut all = routes();
@@ -36,8 +26,8 @@
     world.store.write_desired(&spec);
 }
 
-/// Waits until a version is in force at all nodes.
-async fn in_force(world: &World, version: u64) {
+/// Waits until a version is active at all nodes.
+async fn wait_until_active(world: &World, version: u64) {
     let name = format!("search{version}");
     for index in 0..world.pairs.len() {
         let attempt = format!("of-{version}-at-{index}");
@@ -46,13 +36,13 @@
 }
 
 #[test]
-fn a_change_after_a_restore_is_in_force_everywhere() {
+fn a_change_after_a_restore_is_adopted_by_all_nodes() {
     run(async {
         let world = World::start(&["front", "desk", "desk"]).await;
         let copy = world.store.snapshot();
         for version in [2, 5, 7] {
             write(&world, version);
-            in_force(&world, version).await;
+            wait_until_active(&world, version).await;
         }
 
         world.store.set_down(true);
@@ -61,20 +51,20 @@
         write(&world, 7);
         write(&world, 9);
 
-        in_force(&world, 9).await;
+        wait_until_active(&world, 9).await;
     });
 }
 
-fn lives(world: &World, index: usize) -> usize {
+fn start_count(world: &World, index: usize) -> usize {
     let log = world.pairs[index].node.log();
     log.matches("\"event\":\"start\"").count()
 }
 
-/// Versions that this life of a node has put in force.
+/// The versions that the current incarnation of a node has activated.
 fn adopted(world: &World, index: usize) -> Vec<u64> {
     let log = world.pairs[index].node.log();
-    let life = log.rfind("\"event\":\"start\"").unwrap_or(0);
-    let lines = log[life..].lines().filter(|l| l.contains("\"source\":"));
+    let start = log.rfind("\"event\":\"start\"").unwrap_or(0);
+    let lines = log[start..].lines().filter(|l| l.contains("\"source\":"));
     let versions = lines.filter_map(|line| {
         let line: serde_json::Value = serde_json::from_str(line).ok()?;
         line["version"].as_u64()
@@ -82,108 +72,100 @@
     versions.collect()
 }
 
-// A node that began after the restore read the copy some milliseconds before
-// its links were open, and served by it though its peers knew better:
-//
-//     "event":"start"
-//     "event":"desired","version":1,"source":"store"
-//     "event":"desired","version":7,"source":"peer"
+// Guards against a starting node that serves by the restored copy although its
+// peers have a newer state.
 #[test]
-fn a_node_that_begins_after_a_restore_hears_its_peers_first() {
+fn a_node_that_starts_after_a_restore_adopts_only_the_state_of_its_peers() {
     run(async {
         let mut world = World::start(&["front", "desk", "desk"]).await;
         let copy = world.store.snapshot();
         write(&world, 7);
-        in_force(&world, 7).await;
+        wait_until_active(&world, 7).await;
         world.store.restore(&copy, Fate::Cut);
 
         world.pairs[0].node.restart();
-        until("its next life has a desired state", || async {
-            lives(&world, 0) == 2 && !adopted(&world, 0).is_empty()
+        until("the restarted node has a desired state", || async {
+            start_count(&world, 0) == 2 && !adopted(&world, 0).is_empty()
         })
         .await;
 
-        in_force(&world, 7).await;
+        wait_until_active(&world, 7).await;
         assert_eq!(adopted(&world, 0), [7]);
     });
 }
 
 #[test]
-fn nodes_that_all_began_after_a_restore_take_the_copy_and_then_the_change() {
+fn nodes_that_all_start_after_a_restore_adopt_the_copy_and_then_the_change() {
     run(async {
         let mut world = World::start(&["front", "desk"]).await;
         let copy = world.store.snapshot();
         write(&world, 7);
-        in_force(&world, 7).await;
+        wait_until_active(&world, 7).await;
         world.store.restore(&copy, Fate::Cut);
         world.pairs.iter_mut().for_each(|pair| pair.node.restart());
         world.served(0, "browse", "by-the-copy").await;
 
         write(&world, 7);
 
-        in_force(&world, 7).await;
+        wait_until_active(&world, 7).await;
     });
 }
 
-// A watch that outlives the restore waits for revisions above the one that it
-// named. Those that are given out again below it never reach it, and its end
-// after half a minute, with no change and the store's new revision, looked like
-// any other:
-//
-//     "event":"desired","version":7,"revision":7
-//     (no further line; version 9 stands at revision 6)
+// Guards against a watch that outlives the restore and waits for a revision
+// above those that are assigned again.
 #[test]
-fn a_watch_that_hangs_on_over_a_restore_misses_no_change() {
+fn a_watch_that_outlives_a_restore_misses_no_change() {
     run(async {
         let mut world = World::start(&["front", "desk", "desk"]).await;
         let copy = world.store.snapshot();
         for version in [2, 5, 7] {
             write(&world, version);
-            in_force(&world, version).await;
+            wait_until_active(&world, version).await;
         }
-        let others = || (0..3).filter(|at| world.watches(*at) == Some(false));
-        until("two watch", || async { others().count() == 1 }).await;
-        let other = others().next().unwrap();
+        let idle = || (0..3).filter(|at| world.watches(*at) == Some(false));
+        until("two nodes watch", || async { idle().count() == 1 }).await;
+        let idle_node = idle().next().unwrap();
 
         world.store.restore(&copy, Fate::Hang);
-        // It reads the store, and leaves the watch to the two that hang.
-        world.pairs[other].node.restart();
-        until("its next life has settled", || async {
-            lives(&world, other) == 2 && world.watches(other) == Some(false)
+        // The restarted node reads the store once and does not watch; the two
+        // watchers still wait on the old revision.
+        world.pairs[idle_node].node.restart();
+        until("the restarted node has stopped watching", || async {
+            start_count(&world, idle_node) == 2
+                && world.watches(idle_node) == Some(false)
         })
         .await;
         world.whole().await;
         write(&world, 9);
 
-        in_force(&world, 9).await;
+        wait_until_active(&world, 9).await;
     });
 }
 
 #[test]
-fn changes_are_seen_whatever_the_store_tells_of_its_era() {
+fn changes_are_adopted_whatever_era_the_store_reports() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
 
-        // None at all, some ahead, one that falls, and the next again.
+        // No era, a jump ahead, a lower era, and the one after it.
         for (version, era) in [(2, 0), (5, 9), (7, 3), (9, 4)] {
             world.store.set_era(Era(era));
             write(&world, version);
 
-            in_force(&world, version).await;
+            wait_until_active(&world, version).await;
         }
     });
 }
 
-/// True if a node has said that it wrote its record again.
+/// True if a node has logged that it writes its record again.
 fn has_registered_again(world: &World, index: usize) -> bool {
     world.pairs[index].node.log().contains("\"registered\":\"again\"")
 }
 
-// A node looks at the directory every fifteen seconds or so, and at a large
-// fleet every few minutes. Until then nobody that began found one whose record
-// a restore had taken away.
+// Guards against lost records that are written again only at the next poll of
+// the directory. Until then, starting nodes would not find their nodes.
 #[test]
-fn records_that_a_restore_took_away_are_written_again() {
+fn records_lost_in_a_restore_are_written_again() {
     run(async {
         let mut world = World::start(&["front"]).await;
         let copy = world.store.snapshot();
@@ -196,7 +178,7 @@
         until("all are listed", || async { world.store.nodes().len() == 3 })
             .await;
         for index in [1, 2] {
-            until("it says so", || async {
+            until("the node logs that it registers again", || async {
                 has_registered_again(&world, index)
             })
             .await;
@@ -204,12 +186,11 @@
         assert!(!has_registered_again(&world, 0));
     });
 }
-// The list that a node read right after it had written its record again lacked
-// one that could not write yet, and the node forgot it:
-//
-//     "event":"directory","gone":"127.0.0.1:22911"
+
+// Guards against a node that takes another one, which has not written its
+// record again yet, for gone.
 #[test]
-fn a_node_that_a_restored_directory_lacks_is_not_taken_for_gone() {
+fn a_node_whose_record_is_lost_in_a_restore_is_not_removed() {
     run(async {
         let mut world = World::start(&["front"]).await;
         let copy = world.store.snapshot();
@@ -226,7 +207,7 @@
         .await;
 
         world.store.restore(&copy, Fate::Cut);
-        until("the other one is listed", || async {
+        until("the other node registers again", || async {
             has_registered_again(&world, 1)
         })
         .await;
--- a/crates/walnutmoor/tests/mesh/resume.rs
+++ b/crates/walnutmoor/tests/mesh/resume.rs
@@ -1,5 +1,5 @@
-//! What becomes of calls when a link between two nodes breaks. The test plays
-//! the node that sends them.
+//! The outcome of calls when the link between two nodes breaks. The tests play
+//! the node that sends the calls.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -23,22 +23,23 @@
 
 use crate::fixture::{World, run, until};
 
-/// One end of a link.
-struct End {
+/// A peer that the test plays, with its connection to the node.
+struct Peer {
     stream: TcpStream,
     bytes: BytesMut,
 }
 
-impl End {
-    async fn open(to: SocketAddr, life: u64) -> End {
-        let stream = TcpStream::connect(to).await.unwrap();
-        let mut end = End { stream, bytes: BytesMut::new() };
-        // Nobody listens there: the node's own link to it stays down.
+impl Peer {
+    async fn open(address: SocketAddr, incarnation: u64) -> Peer {
+        let stream = TcpStream::connect(address).await.unwrap();
+        let mut peer = Peer { stream, bytes: BytesMut::new() };
+        // Nothing listens on this port, so the node cannot open a link of its
+        // own.
         let node = NodeId(([127, 0, 0, 1], 9).into());
-        end.send(&Frame::Hello(Hello {
+        peer.send(&Frame::Hello(Hello {
             protocol: PROTOCOL,
             node,
-            life: Incarnation(life),
+            life: Incarnation(incarnation),
             zone: "a".parse().unwrap(),
             service: "front".parse().unwrap(),
             edition: Edition::default(),
@@ -48,8 +49,8 @@
             fleet: 0,
         }))
         .await;
-        assert!(matches!(end.receive().await, Frame::Hello(_)));
-        end
+        assert!(matches!(peer.receive().await, Frame::Hello(_)));
+        peer
     }
 
     async fn send(&mut self, frame: &Frame) {
@@ -70,8 +71,8 @@
 
     async fn answer(&mut self, id: u64) -> Reply {
         loop {
-            if let Frame::Answer(at, reply, _) = self.receive().await
-                && at == CallId(id)
+            if let Frame::Answer(call, reply, _) = self.receive().await
+                && call == CallId(id)
             {
                 return reply;
             }
@@ -110,20 +111,20 @@
 }
 
 #[test]
-fn an_answer_that_was_under_way_when_the_link_broke_is_given_again() {
+fn an_answer_of_a_call_in_flight_when_the_link_broke_is_sent_again() {
     run(async {
         let world = World::start(&["desk"]).await;
-        let at = world.pairs[0].node.addresses().peers;
+        let address = world.pairs[0].node.addresses().peers;
         world.pairs[0].instance.set_time(Duration::from_millis(400));
-        let mut end = End::open(at, 7).await;
-        end.send(&order(1, "r1")).await;
-        until("it runs", || async { world.runs("r1") == 1 }).await;
-        drop(end);
+        let mut peer = Peer::open(address, 7).await;
+        peer.send(&order(1, "r1")).await;
+        until("the call runs", || async { world.runs("r1") == 1 }).await;
+        drop(peer);
 
-        let mut end = End::open(at, 7).await;
-        end.send(&Frame::Query(vec![CallId(1)])).await;
+        let mut peer = Peer::open(address, 7).await;
+        peer.send(&Frame::Query(vec![CallId(1)])).await;
 
-        assert!(is_answered(&end.answer(1).await));
+        assert!(is_answered(&peer.answer(1).await));
         assert_eq!(world.runs("r1"), 1);
     });
 }
@@ -134,11 +135,11 @@
         let world = World::start(&["desk"]).await;
         let addresses = world.pairs[0].node.addresses();
         world.pairs[0].instance.set_time(Duration::from_millis(400));
-        let mut end = End::open(addresses.peers, 7).await;
-        end.send(&order(1, "k1")).await;
-        until("it runs", || async { world.runs("k1") == 1 }).await;
-        drop(end);
-        until("it has ended", || async {
+        let mut peer = Peer::open(addresses.peers, 7).await;
+        peer.send(&order(1, "k1")).await;
+        until("the call runs", || async { world.runs("k1") == 1 }).await;
+        drop(peer);
+        until("the run has ended", || async {
             let path = "/metrics";
             let body = String::new();
             let sent =
@@ -148,85 +149,86 @@
         })
         .await;
 
-        let mut end = End::open(addresses.peers, 7).await;
-        end.send(&Frame::Query(vec![CallId(1)])).await;
+        let mut peer = Peer::open(addresses.peers, 7).await;
+        peer.send(&Frame::Query(vec![CallId(1)])).await;
 
-        assert!(is_answered(&end.answer(1).await));
+        assert!(is_answered(&peer.answer(1).await));
     });
 }
 
 #[test]
-fn a_call_that_never_came_is_said_not_to_have_run_and_never_runs() {
+fn a_call_that_was_not_received_is_reported_as_not_run_and_never_runs() {
     run(async {
         let world = World::start(&["desk"]).await;
-        let at = world.pairs[0].node.addresses().peers;
-        let mut end = End::open(at, 7).await;
-        end.send(&order(1, "n1")).await;
-        assert!(is_answered(&end.answer(1).await));
-
-        // The older connection still holds a call that was not read yet.
-        let mut newer = End::open(at, 7).await;
+        let address = world.pairs[0].node.addresses().peers;
+        let mut peer = Peer::open(address, 7).await;
+        peer.send(&order(1, "n1")).await;
+        assert!(is_answered(&peer.answer(1).await));
+
+        // A call that the node has not read yet arrives on the older
+        // connection.
+        let mut newer = Peer::open(address, 7).await;
         newer.send(&Frame::Query(vec![CallId(1), CallId(2)])).await;
-        let told = newer.answer(2).await;
+        let reply = newer.answer(2).await;
         let mut bytes = BytesMut::new();
         frame::encode(&order(2, "n2"), &mut bytes);
-        // The node has closed it, so the write may fail as well.
-        let _ = end.stream.write_all(&bytes).await;
+        // The node has closed the connection, so the write may fail.
+        let _ = peer.stream.write_all(&bytes).await;
         newer.send(&order(3, "n3")).await;
         assert!(is_answered(&newer.answer(3).await));
 
-        assert!(matches!(told, Reply::NotRun { .. }), "{told:?}");
+        assert!(matches!(reply, Reply::NotRun { .. }), "{reply:?}");
         assert_eq!(world.runs("n2"), 0);
     });
 }
 
 #[test]
-fn an_answer_no_longer_kept_is_not_said_to_be_unrun() {
+fn a_call_whose_answer_was_evicted_is_reported_as_unknown() {
     run(async {
         let world = World::start(&["desk"]).await;
-        let at = world.pairs[0].node.addresses().peers;
-        let mut end = End::open(at, 7).await;
-        // More answers than are kept for one node.
+        let address = world.pairs[0].node.addresses().peers;
+        let mut peer = Peer::open(address, 7).await;
+        // More answers than a node keeps per peer.
         for id in 1..=300 {
-            end.send(&order(id, &format!("k{id}"))).await;
-            end.answer(id).await;
+            peer.send(&order(id, &format!("k{id}"))).await;
+            peer.answer(id).await;
         }
 
-        end.send(&Frame::Query(vec![CallId(1)])).await;
+        peer.send(&Frame::Query(vec![CallId(1)])).await;
 
-        let told = end.answer(1).await;
-        assert!(matches!(told, Reply::Unknown(_)), "{told:?}");
+        let reply = peer.answer(1).await;
+        assert!(matches!(reply, Reply::Unknown(_)), "{reply:?}");
     });
 }
 
 #[test]
-fn another_life_of_a_node_is_told_nothing_of_the_former_one() {
+fn a_new_incarnation_does_not_receive_answers_of_the_former_one() {
     run(async {
         let world = World::start(&["desk"]).await;
-        let at = world.pairs[0].node.addresses().peers;
-        let mut end = End::open(at, 7).await;
-        end.send(&order(1, "l1")).await;
-        assert!(is_answered(&end.answer(1).await));
+        let address = world.pairs[0].node.addresses().peers;
+        let mut peer = Peer::open(address, 7).await;
+        peer.send(&order(1, "l1")).await;
+        assert!(is_answered(&peer.answer(1).await));
 
-        let mut other = End::open(at, 8).await;
+        let mut other = Peer::open(address, 8).await;
         other.send(&Frame::Query(vec![CallId(1)])).await;
 
-        let told = other.answer(1).await;
-        assert!(matches!(told, Reply::NotRun { .. }), "{told:?}");
+        let reply = other.answer(1).await;
+        assert!(matches!(reply, Reply::NotRun { .. }), "{reply:?}");
     });
 }
 
 #[test]
-fn a_call_for_another_service_is_turned_away() {
+fn a_call_for_another_service_is_rejected() {
     run(async {
         let world = World::start(&["board"]).await;
-        let at = world.pairs[0].node.addresses().peers;
-        let mut end = End::open(at, 7).await;
+        let address = world.pairs[0].node.addresses().peers;
+        let mut peer = Peer::open(address, 7).await;
 
-        end.send(&order(1, "w1")).await;
+        peer.send(&order(1, "w1")).await;
 
-        let told = end.answer(1).await;
-        assert!(matches!(told, Reply::NotRun { .. }), "{told:?}");
+        let reply = peer.answer(1).await;
+        assert!(matches!(reply, Reply::NotRun { .. }), "{reply:?}");
         assert_eq!(world.runs("w1"), 0);
     });
 }
--- a/crates/walnutmoor/tests/mesh/sight.rs
+++ b/crates/walnutmoor/tests/mesh/sight.rs
@@ -1,4 +1,4 @@
-//! What the logs tell of an instance that crashed.
+//! The log lines about an instance that crashed.
 
 use std::time::Duration;
 
@@ -6,15 +6,15 @@
 
 use crate::fixture::{World, run, until};
 
-/// The first line of an event in a log.
-fn line(log: &str, event: &str) -> Option<Value> {
+/// The first line with this event in a log.
+fn find_event(log: &str, event: &str) -> Option<Value> {
     let lines = log.lines().filter_map(|l| serde_json::from_str(l).ok());
     let mut lines = lines.filter(|l: &Value| l["event"] == event);
     lines.next()
 }
 
 #[test]
-fn the_log_of_a_crash_names_what_ran_as_its_callers_node_does() {
+fn a_crash_is_logged_with_the_fingerprint_that_the_ingress_node_logs() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
         let desk = &world.pairs[1];
@@ -23,15 +23,16 @@
         world.send_body(0, "browse", "fatal", "spoiled").await;
 
         until("the crash is logged", || async {
-            line(&desk.node.log(), "crash").is_some()
+            find_event(&desk.node.log(), "crash").is_some()
         })
         .await;
-        until("the end is logged", || async {
-            line(&world.pairs[0].node.log(), "unknown").is_some()
+        until("the unknown outcome is logged", || async {
+            find_event(&world.pairs[0].node.log(), "unknown").is_some()
         })
         .await;
-        let crash = line(&desk.node.log(), "crash").unwrap();
-        let unknown = line(&world.pairs[0].node.log(), "unknown").unwrap();
+        let crash = find_event(&desk.node.log(), "crash").unwrap();
+        let unknown =
+            find_event(&world.pairs[0].node.log(), "unknown").unwrap();
         assert_eq!(crash["instance"], "i-1");
         assert_eq!(crash["ran"], 1);
         assert_eq!(crash["fingerprints"][0], unknown["fingerprint"]);
@@ -40,18 +41,19 @@
 }
 
 #[test]
-fn an_instance_that_leaves_or_cuts_answers_is_not_said_to_have_crashed() {
+fn an_instance_that_leaves_or_loses_answers_is_not_logged_as_crashed() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
         let desk = &world.pairs[1];
-        let cuts = walnutmoor_standin::mesh::instance::Mood::LosesAnswers;
-        desk.instance.set_mood(cuts);
+        let loses_answers =
+            walnutmoor_standin::mesh::instance::Mood::LosesAnswers;
+        desk.instance.set_mood(loses_answers);
         world.send(0, "browse", "lost").await;
         desk.instance.drain().await;
         desk.instance.stop();
 
         world.send(0, "browse", "after").await;
 
-        assert_eq!(line(&desk.node.log(), "crash"), None);
+        assert_eq!(find_event(&desk.node.log(), "crash"), None);
     });
 }
--- a/crates/walnutmoor/tests/mesh/watching.rs
+++ b/crates/walnutmoor/tests/mesh/watching.rs
@@ -1,4 +1,4 @@
-//! A few nodes watch the desired state for all of their zone.
+//! The election of the few nodes that watch the desired state for a zone.
 
 use walnutmoor_core::{table::Effect, watcher::WATCHERS_PER_ZONE};
 use walnutmoor_standin::soak::proxy::Mode;
@@ -8,20 +8,21 @@
 /// Nodes of one zone.
 const NODES: usize = 5;
 
-async fn world() -> World {
+async fn start_world() -> World {
     World::start(&["front", "desk", "desk", "desk", "desk"]).await
 }
 
-/// Waits until as many watch as should, and the others have said that they
-/// don't; tells who does.
-async fn settled(world: &World) -> Vec<usize> {
+/// Waits until the expected number of nodes watch and returns them.
+async fn wait_for_watchers(world: &World) -> Vec<usize> {
     let watchers = || (0..NODES).filter(|at| world.watches(*at) == Some(true));
-    until("a few watch", || async { watchers().count() == WATCHERS_PER_ZONE })
-        .await;
+    until("the watchers are elected", || async {
+        watchers().count() == WATCHERS_PER_ZONE
+    })
+    .await;
     watchers().collect()
 }
 
-/// Changes the desired state, and waits until it is in force everywhere.
+/// Changes the desired state and waits until it is active at all nodes.
 async fn change(world: &World, version: u64) {
     let name = format!("search{version}");
     let mut next = routes();
@@ -32,7 +33,7 @@
     }
 }
 
-/// Where a node has a version from.
+/// The source from which a node adopted a version.
 fn source(world: &World, index: usize, version: u64) -> String {
     let log = world.pairs[index].node.log();
     let version = format!("\"version\":{version}");
@@ -43,16 +44,16 @@
 }
 
 #[test]
-fn a_change_reaches_the_nodes_that_leave_the_watch_to_others() {
+fn a_change_reaches_nodes_that_do_not_watch() {
     run(async {
-        let world = world().await;
-        let watchers = settled(&world).await;
+        let world = start_world().await;
+        let watchers = wait_for_watchers(&world).await;
 
         change(&world, 2).await;
 
-        let told = (0..NODES).filter(|index| !watchers.contains(index));
-        for index in told {
-            until("the log tells of it", || async {
+        let others = (0..NODES).filter(|index| !watchers.contains(index));
+        for index in others {
+            until("the adoption is logged", || async {
                 world.pairs[index].node.log().contains("\"version\":2")
             })
             .await;
@@ -62,10 +63,10 @@
 }
 
 #[test]
-fn others_watch_where_the_store_turns_the_watchers_away() {
+fn other_nodes_watch_if_the_store_rejects_the_watchers() {
     run(async {
-        let world = world().await;
-        let before = settled(&world).await;
+        let world = start_world().await;
+        let before = wait_for_watchers(&world).await;
 
         for index in &before {
             world.pairs[*index].store.set(Mode::Refuses);
@@ -83,10 +84,10 @@
 }
 
 #[test]
-fn others_watch_where_the_watchers_are_frozen() {
+fn other_nodes_watch_if_the_watchers_are_frozen() {
     run(async {
-        let world = world().await;
-        let before = settled(&world).await;
+        let world = start_world().await;
+        let before = wait_for_watchers(&world).await;
 
         for index in &before {
             world.pairs[*index].node.signal("STOP");
