--- a/crates/walnutmoor/tests/mesh/main.rs
+++ b/crates/walnutmoor/tests/mesh/main.rs
@@ -3,6 +3,7 @@
 //! Tests wait on conditions; none judges elapsed time.
 
 mod accounts;
+mod crash_log;
 mod desired;
 mod faults;
 mod fixture;
@@ -12,5 +13,4 @@
 mod poison;
 mod restore;
 mod resume;
-mod sight;
 mod watching;
