--- a/crates/walnutmoor/src/command/node.rs
+++ b/crates/walnutmoor/src/command/node.rs
@@ -15,17 +15,17 @@
 };
 
 use crate::{
-    duty::{
-        self,
-        decide::{self, Input, Outlets, Ring},
-        echo, forward, gossip,
-        listen::{Context, Tokens},
-        operator, peer, platform as platform_duty,
-    },
     platform::{Http, Memory, Platform},
     prelude::*,
     settings::{self, Settings},
     telemetry,
+    worker::{
+        self,
+        driver::{self, Input, Outlets, Ring},
+        echo, forward, gossip,
+        listen::{Context, Tokens},
+        operator, peer, platform as platform_worker,
+    },
 };
 
 /// What the listeners share.
@@ -54,7 +54,7 @@
     telemetry::install_metrics()?;
     let begun = Instant::now();
     let platform = Arc::new(platform(&settings));
-    let (ring, input) = decide::ring(settings.limits.ring);
+    let (ring, input) = driver::ring(settings.limits.ring);
     let shared = Shared {
         ring: ring.clone(),
         calls: Arc::new(AtomicU64::new(1)),
@@ -81,7 +81,7 @@
     );
     let decisions = thread::Builder::new()
         .name("decide".to_string())
-        .spawn(move || decide::run(node, input, outlets, begun))
+        .spawn(move || driver::run(node, input, outlets, begun))
         .map_err(|e| Failure::Internal(format!("no thread: {e}")))?;
     let ended = decisions.join();
     // The last packets are on their way to the socket.
@@ -141,7 +141,7 @@
         return Ok(server.address);
     }
     let (listener, address) = echo::open()?;
-    duty::spawn("echo", || echo::run(listener))?;
+    worker::spawn("echo", || echo::run(listener))?;
     Ok(Some(address))
 }
 
@@ -161,12 +161,14 @@
         backend,
         body_max: shared.body_max,
     };
-    duty::spawn("forward", || forward::run(setup, commands))?;
+    worker::spawn("forward", || forward::run(setup, commands))?;
     let sockets = gossip::Sockets::open(NodeId(settings.node.address))?;
     let ring = shared.ring.clone();
-    duty::spawn("gossip", || gossip::run(sockets, ring, outbox))?;
+    worker::spawn("gossip", || gossip::run(sockets, ring, outbox))?;
     let (ring, platform) = (shared.ring.clone(), platform.clone());
-    duty::spawn("platform", || platform_duty::run(platform, ring, requests))?;
+    worker::spawn("platform", || {
+        platform_worker::run(platform, ring, requests)
+    })?;
     let (gossip, platform) = (gossip_out, platform_out);
     Ok(Outlets { forward, gossip, platform })
 }
@@ -179,7 +181,7 @@
     platform: &Arc<Platform>,
 ) -> Result<(), Failure> {
     let (context, address) = (shared.context(), settings.caller.address);
-    listener("caller", move || duty::caller::start(context, address))?;
+    listener("caller", move || worker::caller::start(context, address))?;
     let (context, address) = (shared.context(), settings.node.address);
     listener("peer", move || peer::start(context, address))?;
     let address = settings.operator.address;
@@ -194,7 +196,7 @@
     F: FnOnce() -> Result<dropshot::HttpServer<C>, Failure> + Send + 'static,
 {
     let (told, tell) = std::sync::mpsc::channel();
-    duty::spawn(name, move || async move {
+    worker::spawn(name, move || async move {
         match start() {
             Ok(server) => {
                 let _ = told.send(Ok(()));
@@ -208,7 +210,7 @@
 }
 
 fn start_signals(ring: Ring) -> Result<(), Failure> {
-    duty::spawn("signals", move || async move {
+    worker::spawn("signals", move || async move {
         use tokio::signal::unix::{SignalKind, signal};
         let Ok(mut term) = signal(SignalKind::terminate()) else { return };
         let Ok(mut int) = signal(SignalKind::interrupt()) else { return };
--- a/crates/walnutmoor/src/command/operate.rs
+++ b/crates/walnutmoor/src/command/operate.rs
@@ -10,10 +10,10 @@
     no_more, parse,
 };
 use crate::{
-    duty::operator::{
+    prelude::*,
+    worker::operator::{
         Accepted, OPERATOR, Shown, ShownConfig, Wanted, WantedTarget,
     },
-    prelude::*,
 };
 
 /// Where the operator interface listens by default.
--- a/crates/walnutmoor/src/lib.rs
+++ b/crates/walnutmoor/src/lib.rs
@@ -23,7 +23,6 @@
 */
 
 pub mod command;
-pub mod duty;
 pub mod failure;
 pub mod http1;
 pub mod mesh;
@@ -32,3 +31,4 @@
 pub mod settings;
 pub mod telemetry;
 pub mod wire;
+pub mod worker;
--- a/crates/walnutmoor/src/duty/caller.rs
+++ b/crates/walnutmoor/src/worker/caller.rs
@@ -17,7 +17,7 @@
 };
 
 use super::{
-    decide::{Done, Input},
+    driver::{Done, Input},
     listen::{self, BodyError, Context, Name, Rest},
 };
 use crate::{
--- a/crates/walnutmoor/src/duty/forward.rs
+++ b/crates/walnutmoor/src/worker/forward.rs
@@ -22,7 +22,7 @@
 use walnutmoor_core::call::{Envelope, Reply};
 
 use super::{
-    decide::{Input, Load, Ring},
+    driver::{Input, Load, Ring},
     listen::Tokens,
 };
 use crate::{
--- a/crates/walnutmoor/src/duty/gossip.rs
+++ b/crates/walnutmoor/src/worker/gossip.rs
@@ -18,7 +18,7 @@
 use tokio::{net::UdpSocket, sync::mpsc};
 use walnutmoor_core::{gossip::Packet, node::Event};
 
-use super::decide::{Input, Ring};
+use super::driver::{Input, Ring};
 use crate::prelude::*;
 
 /// The longest datagram: the smallest MTU of IPv6 less headers, so that no
--- a/crates/walnutmoor/src/duty/listen.rs
+++ b/crates/walnutmoor/src/worker/listen.rs
@@ -23,7 +23,7 @@
 use tokio::sync::oneshot;
 use walnutmoor_core::{error::Kind, node::Event};
 
-use super::decide::{Done, Input, Load, Ring};
+use super::driver::{Done, Input, Load, Ring};
 use crate::{
     prelude::*,
     wire::{self, Answer, Head},
--- a/crates/walnutmoor/src/duty/mod.rs
+++ b/crates/walnutmoor/src/worker/mod.rs
@@ -5,7 +5,7 @@
 |---|---|
 | [`caller`] | takes calls from callers and from the own backend server |
 | [`peer`] | takes calls that peers pass on |
-| [`decide`] | owns all state; the only thread that decides |
+| [`driver`] | owns all state; the only thread that decides |
 | [`forward`] | sends calls to peers and to the own backend server |
 | [`gossip`] | sends and takes control packets |
 | [`platform`] | talks to the object API |
@@ -17,7 +17,7 @@
 */
 
 pub mod caller;
-pub mod decide;
+pub mod driver;
 pub mod echo;
 pub mod forward;
 pub mod gossip;
--- a/crates/walnutmoor/src/duty/operator.rs
+++ b/crates/walnutmoor/src/worker/operator.rs
@@ -26,7 +26,7 @@
 };
 
 use super::{
-    decide::{Input, Ring, View},
+    driver::{Input, Ring, View},
     listen::{self, Name},
 };
 use crate::{platform::Platform, prelude::*, settings::Span, telemetry, wire};
--- a/crates/walnutmoor/src/duty/peer.rs
+++ b/crates/walnutmoor/src/worker/peer.rs
@@ -12,7 +12,7 @@
 use walnutmoor_core::{call::Trailer, error::Kind};
 
 use super::{
-    decide::{Done, Input},
+    driver::{Done, Input},
     listen::{self, BodyError, Context, Rest},
 };
 use crate::{
--- a/crates/walnutmoor/src/duty/platform.rs
+++ b/crates/walnutmoor/src/worker/platform.rs
@@ -12,7 +12,7 @@
     platform::{Reply, Request},
 };
 
-use super::decide::{Input, Ring};
+use super::driver::{Input, Ring};
 use crate::platform::Platform;
 
 /// Runs the duty until the decisions end.
