--- a/crates/walnutmoor/src/command/node.rs
+++ b/crates/walnutmoor/src/command/node.rs
@@ -21,7 +21,7 @@
     telemetry,
     worker::{
         self,
-        driver::{self, Input, Outlets, Ring},
+        driver::{self, Input, InputSender, Outputs},
         echo, forward, gossip,
         listen::{Context, Tokens},
         operator, peer, platform as platform_worker,
@@ -30,7 +30,7 @@
 
 /// What the listeners share.
 struct Shared {
-    ring: Ring,
+    ring: InputSender,
     calls: Arc<AtomicU64>,
     tokens: Arc<Tokens>,
     body_max: usize,
@@ -40,10 +40,10 @@
 impl Shared {
     fn context(&self) -> Context {
         Context {
-            ring: self.ring.clone(),
-            calls: self.calls.clone(),
+            inputs: self.ring.clone(),
+            call_counter: self.calls.clone(),
             tokens: self.tokens.clone(),
-            body_max: self.body_max,
+            max_body_bytes: self.body_max,
             retries: self.retries,
         }
     }
@@ -54,7 +54,7 @@
     telemetry::install_metrics()?;
     let begun = Instant::now();
     let platform = Arc::new(platform(&settings));
-    let (ring, input) = driver::ring(settings.limits.ring);
+    let (ring, input) = driver::channel(settings.limits.ring);
     let shared = Shared {
         ring: ring.clone(),
         calls: Arc::new(AtomicU64::new(1)),
@@ -150,16 +150,16 @@
     shared: &Shared,
     platform: &Arc<Platform>,
     backend: Option<SocketAddr>,
-) -> Result<Outlets, Failure> {
+) -> Result<Outputs, Failure> {
     let room = settings.limits.ring;
     let (forward, commands) = mpsc::channel(room);
     let (gossip_out, outbox) = mpsc::channel(room);
     let (platform_out, requests) = mpsc::channel(room);
     let setup = forward::Setup {
-        ring: shared.ring.clone(),
+        inputs: shared.ring.clone(),
         tokens: shared.tokens.clone(),
         backend,
-        body_max: shared.body_max,
+        max_body_bytes: shared.body_max,
     };
     worker::spawn("forward", || forward::run(setup, commands))?;
     let sockets = gossip::Sockets::open(NodeId(settings.node.address))?;
@@ -170,7 +170,7 @@
         platform_worker::run(platform, ring, requests)
     })?;
     let (gossip, platform) = (gossip_out, platform_out);
-    Ok(Outlets { forward, gossip, platform })
+    Ok(Outputs { forward, gossip, platform })
 }
 
 /// Each listener gets its thread. A failure to listen is reported before
@@ -185,8 +185,8 @@
     let (context, address) = (shared.context(), settings.node.address);
     listener("peer", move || peer::start(context, address))?;
     let address = settings.operator.address;
-    let (ring, platform) = (shared.ring.clone(), platform.clone());
-    let context = operator::Context { ring, platform };
+    let (inputs, platform) = (shared.ring.clone(), platform.clone());
+    let context = operator::Context { inputs, platform };
     listener("operator", move || operator::start(context, address))
 }
 
@@ -209,7 +209,7 @@
     tell.recv().map_err(ended)?
 }
 
-fn start_signals(ring: Ring) -> Result<(), Failure> {
+fn start_signals(ring: InputSender) -> Result<(), Failure> {
     worker::spawn("signals", move || async move {
         use tokio::signal::unix::{SignalKind, signal};
         let Ok(mut term) = signal(SignalKind::terminate()) else { return };
--- a/crates/walnutmoor/src/command/operate.rs
+++ b/crates/walnutmoor/src/command/operate.rs
@@ -12,7 +12,7 @@
 use crate::{
     prelude::*,
     worker::operator::{
-        Accepted, OPERATOR, Shown, ShownConfig, Wanted, WantedTarget,
+        Accepted, ClassSpec, ClassView, ConfigView, OPERATOR, TargetSpec,
     },
 };
 
@@ -92,8 +92,8 @@
     }
 }
 
-fn print_class(class: &Shown) {
-    let (name, wanted) = (&class.name, &class.wanted);
+fn print_class(class: &ClassView) {
+    let (name, wanted) = (&class.name, &class.spec);
     let (kind, target) = (wanted.kind, &wanted.target);
     let within = target.within.0;
     println!("{name:<24} {kind:<9} {} within {within}", target.share);
@@ -107,7 +107,7 @@
     };
     no_more(&matches)?;
     let answer = client::call(&node(&matches), Call::get("/v1/config"))?;
-    let config: ShownConfig = read(&answer)?;
+    let config: ConfigView = read(&answer)?;
     println!("revision {}", config.revision);
     config.classes.iter().for_each(print_class);
     Ok(())
@@ -172,7 +172,7 @@
     let share = required(&matches, "share")?.parse()?;
     let kind = required(&matches, "kind")?.parse()?;
     let within = crate::settings::Span(within);
-    let wanted = Wanted { kind, target: WantedTarget { share, within } };
+    let wanted = ClassSpec { kind, target: TargetSpec { share, within } };
     let body = serde_json::to_string(&wanted).expect("plain data");
     change(&matches, Method::PUT, body)
 }
--- a/crates/walnutmoor/src/mesh/control.rs
+++ b/crates/walnutmoor/src/mesh/control.rs
@@ -66,7 +66,7 @@
         Desk::Ready => reply(StatusCode::NOT_FOUND, ""),
         Desk::Heartbeat => heartbeat(state, request).await,
         Desk::Metrics => {
-            crate::telemetry::mesh(state);
+            crate::telemetry::publish_mesh(state);
             let mut answer = Response::new(Full::new(Bytes::from(
                 crate::telemetry::render(),
             )));
--- a/crates/walnutmoor/src/platform/http.rs
+++ b/crates/walnutmoor/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! An object API over HTTP.
+//! A client of the platform's object API over HTTP.
 
 use std::time::Duration;
 
@@ -14,17 +14,16 @@
     Key, Object, Reply, Request, VALUE_MAX, Version,
 };
 
-/// How long to wait for an answer. The platform answers in milliseconds;
-/// two seconds without one is an outage.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// The timeout of a request, in addition to the wait of a watch.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a watch asks the platform to wait.
-const WAIT: Duration = Duration::from_secs(20);
+/// How long the platform may wait before it answers a watch without a change.
+const WATCH_WAIT: Duration = Duration::from_secs(20);
 
-/// The longest answer: a list of some values.
-const ANSWER_MAX: usize = 16 * VALUE_MAX;
+/// The maximum size of a response body; lists contain several values.
+const MAX_RESPONSE_BYTES: usize = 16 * VALUE_MAX;
 
-/// An object API over HTTP.
+/// A client of the platform's object API over HTTP.
 #[derive(Debug)]
 pub struct Http {
     url: String,
@@ -39,7 +38,7 @@
     value: String,
 }
 
-/// What came back: the status, the headers and the body.
+/// A response with its complete body.
 struct Response {
     status: StatusCode,
     headers: HeaderMap,
@@ -47,7 +46,7 @@
 }
 
 impl Http {
-    /// One at this URL, as in `http://10.0.0.9:8080`.
+    /// Creates a client of the API at this URL, as in `http://10.0.0.9:8080`.
     pub fn new(url: &str) -> Http {
         let client = Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
@@ -55,11 +54,11 @@
         Http { url: url.trim_end_matches('/').to_string(), client }
     }
 
-    /// Asks, and waits for the reply.
+    /// Sends a request and waits for the reply.
     pub async fn call(&self, request: Request) -> Reply {
         let limit = match request {
-            Request::Watch { .. } => WAIT + TIMEOUT,
-            _ => TIMEOUT,
+            Request::Watch { .. } => WATCH_WAIT + REQUEST_TIMEOUT,
+            _ => REQUEST_TIMEOUT,
         };
         let list = matches!(request, Request::List { .. });
         let Some(request) = self.encode(request) else {
@@ -98,7 +97,7 @@
             }
             Request::Watch { key, known } => {
                 let known = known.map_or(0, |version| version.0);
-                let wait = WAIT.as_millis();
+                let wait = WATCH_WAIT.as_millis();
                 let query = format!("known={known}&wait_ms={wait}");
                 let uri = format!("{url}/objects/{key}?{query}");
                 (builder.method(Method::GET).uri(uri), String::new())
@@ -113,7 +112,8 @@
     ) -> Option<Response> {
         let response = self.client.request(request).await.ok()?;
         let (parts, body) = response.into_parts();
-        let body = Limited::new(body, ANSWER_MAX).collect().await.ok()?;
+        let body =
+            Limited::new(body, MAX_RESPONSE_BYTES).collect().await.ok()?;
         let (status, headers) = (parts.status, parts.headers);
         Some(Response { status, headers, body: body.to_bytes() })
     }
@@ -141,7 +141,7 @@
     Reply::Listed(items.into_iter().map(pair).collect())
 }
 
-/// A write is answered with an empty body and the new version.
+/// Decodes the response to a read, or to a write if the body is empty.
 fn decode_object(response: &Response) -> Reply {
     let tag = response.headers.get(header::ETAG);
     let text = tag.and_then(|v| v.to_str().ok());
--- a/crates/walnutmoor/src/platform/memory.rs
+++ b/crates/walnutmoor/src/platform/memory.rs
@@ -1,14 +1,14 @@
-//! The embedded platform.
+//! An object store in memory, the embedded platform.
 
 use std::{collections::BTreeMap, sync::Mutex, time::Duration};
 
 use tokio::sync::Notify;
 use walnutmoor_core::platform::{Key, Object, Reply, Request, Version};
 
-/// How long a watch waits before it says that nothing is new.
-const WAIT: Duration = Duration::from_secs(20);
+/// How long a watch waits before it ends without a change.
+const WATCH_WAIT: Duration = Duration::from_secs(20);
 
-/// An object API in memory, with versions and watches.
+/// An object store in memory, with versions and watches.
 #[derive(Debug, Default)]
 pub struct Memory {
     objects: Mutex<Objects>,
@@ -22,12 +22,12 @@
 }
 
 impl Memory {
-    /// An empty one.
+    /// Creates an empty store.
     pub fn new() -> Memory {
         Memory::default()
     }
 
-    /// Asks, and waits for the reply.
+    /// Executes a request and waits for the reply.
     pub async fn call(&self, request: Request) -> Reply {
         match request {
             Request::Get { key } => self.get(&key),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Reads all objects under a prefix.
+    /// Reads all objects whose key starts with a prefix.
     pub fn list(&self, prefix: &Key) -> Reply {
         let objects = self.objects();
         let all = objects.by_key.iter();
@@ -57,7 +57,8 @@
         Reply::Listed(under.map(|(k, o)| (k.clone(), o.clone())).collect())
     }
 
-    /// Writes an object if it still has the version named.
+    /// Writes an object if its current version is `base`; `None` means that
+    /// the object must not exist.
     pub fn put(
         &self,
         key: Key,
@@ -76,15 +77,16 @@
         Reply::Written(version)
     }
 
-    /// Puts an object back to an older value, as a restored store would.
+    /// Overwrites an object with an older value and version, which simulates a
+    /// restore from a backup.
     pub fn restore(&self, key: Key, object: Object) {
         self.objects().by_key.insert(key, object);
         self.changed.notify_waiters();
     }
 
-    /// Waits until an object has another version than the one known.
+    /// Waits until the version of an object differs from `known`.
     pub async fn watch(&self, key: &Key, known: Option<Version>) -> Reply {
-        let deadline = tokio::time::Instant::now() + WAIT;
+        let deadline = tokio::time::Instant::now() + WATCH_WAIT;
         loop {
             let mut changed = std::pin::pin!(self.changed.notified());
             changed.as_mut().enable();
--- a/crates/walnutmoor/src/platform/mod.rs
+++ b/crates/walnutmoor/src/platform/mod.rs
@@ -1,17 +1,17 @@
 /*!
-The platform's object API, as this process reaches it.
+Access to the platform's object API.
 
-[`Memory`] is the embedded default: it lives and dies with the process.
-[`Http`] speaks to an object API over HTTP:
+[`Memory`] is the embedded default, whose content is lost when the process
+ends. [`Http`] is a client of an object API over HTTP:
 
-| request | call | answers |
+| request | HTTP request | responses |
 |---|---|---|
 | get | `GET /objects/KEY` | 200 with `ETag: "VERSION"`, 404 |
 | list | `GET /objects?prefix=P` | 200 with `[{key, version, value}]` |
 | put | `PUT /objects/KEY` with `If-Match` or `If-None-Match: *` | 200 with `ETag`, 412 |
 | watch | `GET /objects/KEY?known=V&wait_ms=N` | as get, or 304 |
 
-Whatever else comes, or nothing in time, is [`Reply::Unavailable`].
+Any other response, or none in time, is [`Reply::Unavailable`].
 */
 
 mod http;
@@ -21,17 +21,17 @@
 
 pub use self::{http::Http, memory::Memory};
 
-/// One of the platforms.
+/// A platform.
 #[derive(Debug)]
 pub enum Platform {
-    /// In this process.
+    /// An object store in this process.
     Memory(Memory),
-    /// Over HTTP.
+    /// An object API over HTTP.
     Http(Box<Http>),
 }
 
 impl Platform {
-    /// Asks, and waits for the reply.
+    /// Sends a request and waits for the reply.
     pub async fn call(&self, request: Request) -> Reply {
         match self {
             Platform::Memory(memory) => memory.call(request).await,
--- a/crates/walnutmoor/src/telemetry.rs
+++ b/crates/walnutmoor/src/telemetry.rs
@@ -1,8 +1,8 @@
 /*!
 Metrics and the log.
 
-Counters come first: whatever happens often is counted and shown at
-`/metrics`. The log gets a line only when a state changes.
+Frequent events are counted and exported at `/metrics`. Only changes of state
+are logged.
 */
 
 use std::{cell::RefCell, collections::BTreeSet, sync::OnceLock};
@@ -16,37 +16,36 @@
 
 use crate::{mesh, prelude::*, settings};
 
-static HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
+static PROMETHEUS_HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
 
-/// Upper ends of the latency buckets in seconds: twofold steps from the time
-/// that a node adds to the longest time-out in use.
-const BUCKETS: [f64; 14] = [
+/// The upper bounds of the latency buckets.
+const LATENCY_BUCKETS_SECONDS: [f64; 14] = [
     0.001, 0.002, 0.004, 0.008, 0.016, 0.032, 0.064, 0.128, 0.256, 0.512,
     1.024, 2.048, 4.096, 8.192,
 ];
 
-/// Installs the recorder of metrics for this process.
+/// Installs the metrics recorder of this process.
 ///
 /// # Errors
 ///
-/// If another recorder is there.
+/// If a recorder is already installed.
 pub fn install_metrics() -> Result<(), Failure> {
-    // Fixed buckets: a summary would keep every sample in memory.
+    // Without buckets, histograms are summaries, which keep every sample.
     let handle = PrometheusBuilder::new()
-        .set_buckets(&BUCKETS)
+        .set_buckets(&LATENCY_BUCKETS_SECONDS)
         .map_err(|error| Failure::Internal(error.to_string()))?
         .install_recorder()
         .map_err(|error| Failure::Internal(error.to_string()))?;
-    let _ = HANDLE.set(handle);
+    let _ = PROMETHEUS_HANDLE.set(handle);
     Ok(())
 }
 
-/// Writes the log to standard error.
+/// Installs a logger that writes to standard error.
 pub fn install_log(level: settings::Level) {
     let config = simplelog::ConfigBuilder::new()
         .add_filter_allow_str("walnutmoor")
         .build();
-    // A second logger in one process is a matter for tests only.
+    // Fails if a logger is already installed, which happens only in tests.
     let _ = simplelog::TermLogger::init(
         level.into(),
         config,
@@ -55,12 +54,12 @@
     );
 }
 
-/// All metrics as text.
+/// Returns all metrics in the Prometheus text format.
 pub fn render() -> String {
-    HANDLE.get().map(PrometheusHandle::render).unwrap_or_default()
+    PROMETHEUS_HANDLE.get().map(PrometheusHandle::render).unwrap_or_default()
 }
 
-/// Takes the core's counters over into the metrics.
+/// Updates the metrics from the core's status and counters.
 pub fn publish(status: &Status, stats: &Stats) {
     let counters = [
         ("walnutmoor_arrived_total", stats.arrived),
@@ -101,26 +100,26 @@
     }
 }
 
-/// Accounts that have counters of their own; each takes some hundred bytes
-/// and a line for each outcome.
-const ACCOUNTS_MAX: usize = 256;
+/// The maximum number of accounts with a label of their own.
+const MAX_LABELED_ACCOUNTS: usize = 256;
 
-/// The label of all accounts beyond those.
-const OTHERS: &str = "others";
+/// The label shared by all further accounts.
+const OTHER_ACCOUNTS: &str = "others";
 
 thread_local! {
     static ACCOUNTS: RefCell<BTreeSet<String>> = RefCell::default();
 }
 
-/// Counts a request of an account by its outcome.
+/// Counts a request of an account by its outcome. Requests without an account
+/// are not counted.
 pub fn count_account(account: Option<&str>, outcome: &'static str) {
     let Some(account) = account else {
         return;
     };
     let account = ACCOUNTS.with_borrow_mut(|known| {
         let is_known = known.contains(account);
-        if !is_known && known.len() >= ACCOUNTS_MAX {
-            return OTHERS.to_string();
+        if !is_known && known.len() >= MAX_LABELED_ACCOUNTS {
+            return OTHER_ACCOUNTS.to_string();
         }
         if !is_known {
             known.insert(account.to_string());
@@ -135,8 +134,8 @@
     .increment(1);
 }
 
-/// Takes what a node of the mesh knows into the metrics.
-pub fn mesh(state: &mesh::state::State) {
+/// Updates the metrics from the state of a mesh node.
+pub fn publish_mesh(state: &mesh::state::State) {
     let (running, waiting) = state.serve.held();
     let (dealt, asked) = state.quotas.counts();
     let edition = state.edition();
--- a/crates/walnutmoor/src/wire.rs
+++ b/crates/walnutmoor/src/wire.rs
@@ -1,9 +1,9 @@
 /*!
-HTTP as this process speaks it: headers, answers, refusals.
+The HTTP representation of calls: header names, answers and refusals.
 
-Callers and backend servers see plain headers. Between nodes the envelope and
-the trailer travel in one header each, postcard in base64, beside a body that
-is passed on untouched.
+Callers and backend servers use plain headers. Between nodes, the envelope and
+the trailer are each sent in one header, as postcard in base64. Bodies are
+forwarded unchanged.
 */
 
 use base64::{Engine, engine::general_purpose::STANDARD_NO_PAD};
@@ -15,76 +15,79 @@
     error::{Kind, Ran, Refusal},
 };
 
-/// The class of work.
+/// The class of the request.
 pub const CLASS: &str = "walnutmoor-class";
 /// The caller's id for the whole request.
 pub const REQUEST: &str = "walnutmoor-request";
-/// Which attempt of the caller this is, from 1.
+/// The number of the caller's attempt, from 1.
 pub const ATTEMPT: &str = "walnutmoor-attempt";
-/// The time left, in milliseconds.
+/// The time until the deadline, in milliseconds.
 pub const DEADLINE: &str = "walnutmoor-deadline";
-/// The ticket of a class that runs at most once.
+/// The ticket of a call whose class runs at most once.
 pub const TICKET: &str = "walnutmoor-ticket";
-/// The call that a backend server runs, to be named on deeper calls.
+/// The token of the call that a backend server runs, to be sent with nested
+/// calls.
 pub const PARENT: &str = "walnutmoor-parent";
-/// The number of a step that must run once under its parent's ticket.
+/// The number of a step that runs at most once under its parent's ticket.
 pub const STEP: &str = "walnutmoor-step";
 /// The envelope, between nodes.
 pub const ENVELOPE: &str = "walnutmoor-envelope";
 /// The trailer, between nodes.
 pub const TRAILER: &str = "walnutmoor-trailer";
 
-/// What all of the above begin with.
-pub const PREFIX: &str = "walnutmoor-";
+/// The common prefix of these header names.
+pub const HEADER_PREFIX: &str = "walnutmoor-";
 
-/// The path under which callers call services.
-pub const CALL: &str = "/v1/call/";
-/// The path under which peers pass calls on.
-pub const HOP: &str = "/v1/hop/";
+/// The path prefix for calls of callers.
+pub const CALL_PATH: &str = "/v1/call/";
+/// The path prefix for calls that peers forward.
+pub const HOP_PATH: &str = "/v1/hop/";
 
-/// The head of a request as it is passed on.
+/// The method, the path and the headers of a request to be forwarded.
 #[derive(Clone, Debug)]
 pub struct Head {
     /// The method.
     pub method: Method,
     /// The path below the service, with its query.
     pub path: String,
-    /// The caller's own headers.
+    /// The headers to forward.
     pub headers: HeaderMap,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The status.
     pub status: StatusCode,
-    /// The backend server's own headers.
+    /// The headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// Encodes an envelope or trailer for its header.
-pub fn pack(bytes: &[u8]) -> HeaderValue {
+/// Encodes the bytes of an envelope or trailer as a header value.
+pub fn encode_header(bytes: &[u8]) -> HeaderValue {
     let text = STANDARD_NO_PAD.encode(bytes);
     HeaderValue::from_str(&text).expect("base64 is a legal header value")
 }
 
-fn unpack(headers: &HeaderMap, name: &str) -> Option<Vec<u8>> {
+fn decode_header(headers: &HeaderMap, name: &str) -> Option<Vec<u8>> {
     STANDARD_NO_PAD.decode(headers.get(name)?.as_bytes()).ok()
 }
 
-/// The envelope in a request from a peer.
+/// Returns the envelope of a request from a peer, or `None` if it is absent or
+/// malformed.
 pub fn envelope(headers: &HeaderMap) -> Option<Envelope> {
-    Envelope::decode(&unpack(headers, ENVELOPE)?)
+    Envelope::decode(&decode_header(headers, ENVELOPE)?)
 }
 
-/// The trailer in an answer from a peer.
+/// Returns the trailer of an answer from a peer, or `None` if it is absent or
+/// malformed.
 pub fn trailer(headers: &HeaderMap) -> Option<Trailer> {
-    Trailer::decode(&unpack(headers, TRAILER)?)
+    Trailer::decode(&decode_header(headers, TRAILER)?)
 }
 
-/// Headers that belong to one connection and are not passed on.
+/// Hop-by-hop headers, which are not forwarded, and those that are set anew.
 const HOP_BY_HOP: [HeaderName; 6] = [
     http::header::CONNECTION,
     http::header::TRANSFER_ENCODING,
@@ -94,19 +97,19 @@
     http::header::TE,
 ];
 
-/// Takes out what belongs to one connection, and this layer's own headers,
-/// so that a caller cannot forge them.
-pub fn strip(headers: &HeaderMap) -> HeaderMap {
+/// Returns the headers to forward: all except hop-by-hop headers and those of
+/// walnutmoor, which a caller could otherwise forge.
+pub fn forwardable_headers(headers: &HeaderMap) -> HeaderMap {
     let own = |name: &HeaderName| {
-        name.as_str().starts_with(PREFIX) || HOP_BY_HOP.contains(name)
+        name.as_str().starts_with(HEADER_PREFIX) || HOP_BY_HOP.contains(name)
     };
     let kept = headers.iter().filter(|(name, _)| !own(name));
     kept.map(|(name, value)| (name.clone(), value.clone())).collect()
 }
 
-/// A refusal as callers see it.
+/// The JSON body of a refusal.
 #[derive(Serialize)]
-struct Body<'a> {
+struct RefusalBody<'a> {
     kind: Kind,
     ran: Ran,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -115,17 +118,17 @@
     detail: Option<&'a str>,
 }
 
-/// Makes the answer that tells a caller of a refusal.
+/// Creates the answer to a refused call.
 pub fn refusal(refusal: &Refusal, detail: Option<&str>) -> Answer {
     let retry_after_ms = refusal.retry_after.map(|span| span.0);
     let (kind, ran) = (refusal.kind, refusal.ran);
-    let body = Body { kind, ran, retry_after_ms, detail };
+    let body = RefusalBody { kind, ran, retry_after_ms, detail };
     let body = serde_json::to_vec(&body).expect("plain data serializes");
     let mut headers = HeaderMap::new();
     let json = HeaderValue::from_static("application/json");
     headers.insert(http::header::CONTENT_TYPE, json);
     if let Some(ms) = retry_after_ms {
-        // Whole seconds by the standard; the body has the exact span.
+        // `Retry-After` has whole seconds; the body has the exact time.
         let secs = HeaderValue::from(ms.div_ceil(1_000));
         headers.insert(http::header::RETRY_AFTER, secs);
     }
--- a/crates/walnutmoor/src/worker/caller.rs
+++ b/crates/walnutmoor/src/worker/caller.rs
@@ -1,6 +1,8 @@
 /*!
-The way in for callers, and the way out for the own backend server's deeper
-calls: the same listener, told apart by the parent token.
+The HTTP listener for calls from callers and for nested calls of this node's
+backend server.
+
+A nested call carries the token of its parent call.
 */
 
 use std::{net::SocketAddr, str::FromStr};
@@ -17,8 +19,8 @@
 };
 
 use super::{
-    driver::{Done, Input},
-    listen::{self, BodyError, Context, Name, Rest},
+    driver::{Completion, Input},
+    listen::{self, BodyError, Context, Name, Wildcard},
 };
 use crate::{
     prelude::*,
@@ -34,7 +36,7 @@
     context: Context,
     address: SocketAddr,
 ) -> Result<HttpServer<Context>, Failure> {
-    let body_max = context.body_max;
+    let max_body_bytes = context.max_body_bytes;
     let mut api = ApiDescription::new();
     let registered = api
         .register(call_get)
@@ -47,10 +49,10 @@
         .and_then(|()| api.register(server_announce))
         .and_then(|()| api.register(server_leave));
     registered.map_err(|error| Failure::Internal(error.to_string()))?;
-    listen::start(api, context, address, body_max)
+    listen::start(api, context, address, max_body_bytes)
 }
 
-type Outcome = Result<Response<Body>, HttpError>;
+type HttpResult = Result<Response<Body>, HttpError>;
 
 macro_rules! call_endpoint {
     ($name:ident, $method:ident) => {
@@ -61,9 +63,9 @@
                                         }]
         async fn $name(
             context: RequestContext<Context>,
-            _rest: Path<Rest>,
+            _wildcard: Path<Wildcard>,
             request: RawRequest,
-        ) -> Outcome {
+        ) -> HttpResult {
             Ok(call(context.context(), request).await)
         }
     };
@@ -78,36 +80,37 @@
 async fn call(context: &Context, request: RawRequest) -> Response<Body> {
     let (parts, body) = request.into_inner().into_parts();
     let call = context.next_call();
-    let (service, path) = listen::below(&parts.uri, wire::CALL);
-    let arrival = match arrival(context, call, &service, &parts.headers) {
+    let (service, path) = listen::split_path(&parts.uri, wire::CALL_PATH);
+    let arrival = match parse_arrival(context, call, &service, &parts.headers)
+    {
         Ok(arrival) => arrival,
         Err(detail) => return malformed(&detail),
     };
-    let body = match listen::read_body(body, context.body_max).await {
+    let body = match listen::read_body(body, context.max_body_bytes).await {
         Ok(body) => body,
         Err(BodyError::TooLarge) => return refused(Kind::TooLarge),
-        Err(BodyError::Cut) => return malformed("the body was cut"),
+        Err(BodyError::Incomplete) => return malformed("incomplete body"),
     };
-    let what = (parts.method.as_str(), &service, &path, &body[..]);
-    let fingerprint = digest::of(&what);
+    let content = (parts.method.as_str(), &service, &path, &body[..]);
+    let fingerprint = digest::of(&content);
     let arrival = Arrival { fingerprint, ..arrival };
-    let load = listen::load(parts.method, path, &parts.headers, body);
-    let done = listen::submit(context, call, |reply| Input::Call {
+    let payload = listen::payload(parts.method, path, &parts.headers, body);
+    let completion = listen::submit(context, call, |reply| Input::Call {
         arrival,
-        load,
+        payload,
         reply,
     });
-    listen::response(finish(done.await, context.retries))
+    listen::response(into_answer(completion.await, context.retries))
 }
 
-/// Names the number that the caller's next attempt should have, so that
-/// what nodes spent of the budget is spent for the caller too.
-fn finish(done: Done, retries: u8) -> Answer {
-    let mut answer = match done.result {
+/// Converts a completion to an answer and adds the number of the caller's
+/// next attempt. Retries that nodes spent count as attempts of the caller.
+fn into_answer(completion: Completion, retries: u8) -> Answer {
+    let mut answer = match completion.result {
         Ok(answer) => answer,
         Err(refusal) => wire::refusal(&refusal, None),
     };
-    if let Some(trailer) = done.trailer {
+    if let Some(trailer) = completion.trailer {
         let next = Budget::next_attempt(trailer.unspent, retries);
         answer.headers.insert(wire::ATTEMPT, next.into());
     }
@@ -124,9 +127,9 @@
     listen::response(wire::refusal(&refusal, Some(detail)))
 }
 
-/// Reads the headers of a call. What is left out gets a default; what is
-/// there and malformed is an error.
-fn arrival(
+/// Parses the headers of a call. An absent header gets its default value; a
+/// malformed one is an error.
+fn parse_arrival(
     context: &Context,
     call: CallId,
     service: &str,
@@ -135,50 +138,50 @@
     let service: Service = service
         .parse()
         .map_err(|e: walnutmoor_core::id::ParseError| e.to_string())?;
-    let left: Option<u64> = header(headers, wire::DEADLINE)?;
-    let token: Option<String> = header(headers, wire::PARENT)?;
+    let left: Option<u64> = parse_header(headers, wire::DEADLINE)?;
+    let token: Option<String> = parse_header(headers, wire::PARENT)?;
     let parent = match token {
         None => None,
         Some(token) => {
-            let parent = context.tokens.read(&token);
-            let forged = || format!("{} is not genuine", wire::PARENT);
-            Some(parent.ok_or_else(forged)?)
+            let parent = context.tokens.verify(&token);
+            let invalid = || format!("{}: the token is invalid", wire::PARENT);
+            Some(parent.ok_or_else(invalid)?)
         }
     };
     Ok(Arrival {
         call,
         service,
-        class: header(headers, wire::CLASS)?,
-        request: header(headers, wire::REQUEST)?,
-        attempt: header(headers, wire::ATTEMPT)?.unwrap_or(1),
+        class: parse_header(headers, wire::CLASS)?,
+        request: parse_header(headers, wire::REQUEST)?,
+        attempt: parse_header(headers, wire::ATTEMPT)?.unwrap_or(1),
         left: left.map(Millis),
-        ticket: header(headers, wire::TICKET)?,
-        step: header(headers, wire::STEP)?,
+        ticket: parse_header(headers, wire::TICKET)?,
+        step: parse_header(headers, wire::STEP)?,
         parent,
         fingerprint: 0,
     })
 }
 
-fn header<T: FromStr>(
+fn parse_header<T: FromStr>(
     headers: &HeaderMap,
     name: &str,
 ) -> Result<Option<T>, String> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     let text = value.to_str().ok();
     let value = text.and_then(|text| text.trim().parse().ok());
-    value.map(Some).ok_or_else(|| format!("{name} is malformed"))
+    value.map(Some).ok_or_else(|| format!("{name}: the value is malformed"))
 }
 
 fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     let body = serde_json::to_vec(value).expect("plain data serializes");
     let mut response = Response::new(Body::from(body));
     *response.status_mut() = status;
-    let kind = http::HeaderValue::from_static("application/json");
-    response.headers_mut().insert(http::header::CONTENT_TYPE, kind);
+    let content_type = http::HeaderValue::from_static("application/json");
+    response.headers_mut().insert(http::header::CONTENT_TYPE, content_type);
     response
 }
 
-/// A ticket as callers see it.
+/// The response to a request for a ticket.
 #[derive(Serialize)]
 struct Issued {
     ticket: String,
@@ -186,10 +189,10 @@
 }
 
 #[endpoint { method = POST, path = "/v1/tickets", unpublished = true }]
-async fn ticket_issue(context: RequestContext<Context>) -> Outcome {
+async fn ticket_issue(context: RequestContext<Context>) -> HttpResult {
     let (sender, receiver) = tokio::sync::oneshot::channel();
-    let ring = &context.context().ring;
-    if ring.try_send(Input::Issue(sender)).is_err() {
+    let inputs = &context.context().inputs;
+    if inputs.try_send(Input::Issue(sender)).is_err() {
         return Ok(refused(Kind::Full));
     }
     let result = receiver
@@ -205,7 +208,7 @@
     })
 }
 
-/// What became of a ticket, as callers see it.
+/// The response to a query about the outcome of a ticket.
 #[derive(Serialize)]
 struct Inspected {
     ran: Ran,
@@ -221,15 +224,15 @@
     context: RequestContext<Context>,
     _name: Path<Name>,
     request: RawRequest,
-) -> Outcome {
+) -> HttpResult {
     let uri = request.into_inner().uri().clone();
     let text = uri.path().strip_prefix("/v1/tickets/").unwrap_or("");
     let Ok(ticket) = text.parse::<Ticket>() else {
         return Ok(malformed("the ticket is malformed"));
     };
     let (sender, receiver) = tokio::sync::oneshot::channel();
-    let ring = &context.context().ring;
-    if ring.try_send(Input::Inspect(ticket, sender)).is_err() {
+    let inputs = &context.context().inputs;
+    if inputs.try_send(Input::Inspect(ticket, sender)).is_err() {
         return Ok(refused(Kind::Full));
     }
     let result = receiver
@@ -248,29 +251,33 @@
 async fn server_announce(
     context: RequestContext<Context>,
     request: RawRequest,
-) -> Outcome {
+) -> HttpResult {
     let body = request.into_inner().into_body();
-    let body = match listen::read_body(body, ANNOUNCEMENT_MAX).await {
+    let body = match listen::read_body(body, MAX_ANNOUNCEMENT_BYTES).await {
         Ok(body) => body,
-        Err(_) => return Ok(malformed("the announcement is too long")),
+        Err(_) => {
+            return Ok(malformed("the announcement is too long"));
+        }
     };
     match serde_json::from_slice::<Announcement>(&body) {
-        Ok(what) => Ok(tell(context.context(), Event::Announce(what))),
+        Ok(announcement) => {
+            Ok(submit_event(context.context(), Event::Announce(announcement)))
+        }
         Err(error) => Ok(malformed(&error.to_string())),
     }
 }
 
 #[endpoint { method = DELETE, path = "/v1/server", unpublished = true }]
-async fn server_leave(context: RequestContext<Context>) -> Outcome {
-    Ok(tell(context.context(), Event::Leave))
+async fn server_leave(context: RequestContext<Context>) -> HttpResult {
+    Ok(submit_event(context.context(), Event::Leave))
 }
 
-/// The longest announcement, in bytes.
-const ANNOUNCEMENT_MAX: usize = 4_096;
+/// The maximum size of an announcement.
+const MAX_ANNOUNCEMENT_BYTES: usize = 4_096;
 
-fn tell(context: &Context, event: Event) -> Response<Body> {
+fn submit_event(context: &Context, event: Event) -> Response<Body> {
     let input = Input::Event(Box::new(event));
-    match context.ring.try_send(input) {
+    match context.inputs.try_send(input) {
         Ok(()) => json(StatusCode::ACCEPTED, &()),
         Err(_) => refused(Kind::Full),
     }
--- a/crates/walnutmoor/src/worker/driver.rs
+++ b/crates/walnutmoor/src/worker/driver.rs
@@ -1,10 +1,9 @@
 /*!
-The decisions: one thread that owns all state and turns the core's actions
-into messages for the other duties.
+The driver of the core: one thread that owns the node state machine, feeds it
+events and sends its actions to the other workers.
 
-Bodies never enter the core. This thread holds them by call number, from the
-moment a call arrives until the core releases it, and holds the kept answers
-of tickets.
+Message bodies never enter the core. This thread stores the request of each
+call until the core releases it, and the cached answers of tickets.
 */
 
 use std::{
@@ -35,102 +34,103 @@
     wire::{Answer, Head},
 };
 
-/// A request as it came, to be passed on.
+/// A request to be forwarded.
 #[derive(Clone, Debug)]
-pub struct Load {
-    /// Its head.
+pub struct Payload {
+    /// The method, the path and the headers.
     pub head: Head,
-    /// Its whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// The final answer to a call.
+/// How a call ended.
 #[derive(Debug)]
-pub struct Done {
-    /// An answer, or a refusal.
+pub struct Completion {
+    /// The answer, or why there is none.
     pub result: Result<Answer, Refusal>,
-    /// What travels back to a peer.
+    /// The metadata to return if a peer forwarded the call.
     pub trailer: Option<Trailer>,
 }
 
-/// What an operator is shown.
+/// The state of the node, for operators.
 #[derive(Debug)]
-pub struct View {
-    /// The node's state.
+pub struct Snapshot {
+    /// The status of the node.
     pub status: Status,
-    /// Its counters.
+    /// The counters of the node.
     pub stats: Stats,
-    /// The configuration that it trusts.
+    /// The latest configuration that the node has adopted.
     pub config: Config,
 }
 
-/// What the other duties tell this one.
+/// A message from another worker to the driver.
 #[derive(Debug)]
 pub enum Input {
-    /// A call from a caller or the own backend server.
+    /// A call from a caller or from this node's backend server.
     Call {
-        /// What the core is told.
+        /// The metadata for the core.
         arrival: Arrival,
         /// The request.
-        load: Load,
-        /// Who waits.
-        reply: oneshot::Sender<Done>,
+        payload: Payload,
+        /// Receives the completion.
+        reply: oneshot::Sender<Completion>,
     },
-    /// A call from a peer.
+    /// A call that a peer forwarded.
     Hop {
-        /// Its number.
+        /// The id that this node gives the call.
         call: CallId,
-        /// What came with it.
+        /// The metadata that the peer sent with the call.
         envelope: Box<Envelope>,
         /// The request.
-        load: Load,
-        /// Who waits.
-        reply: oneshot::Sender<Done>,
+        payload: Payload,
+        /// Receives the completion.
+        reply: oneshot::Sender<Completion>,
     },
-    /// A call came back.
-    Returned {
-        /// Which.
+    /// A call that was forwarded or started has ended.
+    Replied {
+        /// The call.
         call: CallId,
-        /// How.
+        /// The result, for the core.
         reply: call::Reply,
-        /// The answer, if there is a whole one.
+        /// The answer, if a complete one arrived.
         answer: Option<Answer>,
     },
-    /// A caller wants a ticket.
+    /// A caller requests a ticket.
     Issue(oneshot::Sender<Result<Ticket, Refusal>>),
-    /// A caller asks about a ticket.
+    /// A caller requests the outcome of a ticket.
     Inspect(Ticket, oneshot::Sender<Result<Outcome, Refusal>>),
-    /// An operator proposes a change.
+    /// An operator proposes a change of configuration.
     Propose {
-        /// Who and when.
+        /// Who made the change, and when.
         author: Author,
-        /// What.
+        /// The change.
         op: Op,
-        /// The revision that it is based on.
+        /// The revision that the change is based on, if the operator gave
+        /// one.
         base: Option<Revision>,
-        /// Who waits.
+        /// Receives the new revision.
         reply: oneshot::Sender<Result<Revision, Refusal>>,
     },
-    /// An operator wants to see the node.
-    Show(oneshot::Sender<Box<View>>),
-    /// Anything that only the core needs to know.
+    /// An operator requests the state of the node.
+    Snapshot(oneshot::Sender<Box<Snapshot>>),
+    /// An event to pass to the core unchanged.
     Event(Box<Event>),
-    /// The process was told to stop.
+    /// The process was asked to stop.
     Drain,
 }
 
-/// The ring into the decisions.
-pub type Ring = Sender<Input>;
+/// The sending half of the driver's channel.
+pub type InputSender = Sender<Input>;
 
-/// A ring with room for so many messages.
-pub fn ring(room: usize) -> (Ring, Receiver<Input>) {
-    bounded(room)
+/// Creates the driver's channel with the given capacity, in messages.
+pub fn channel(capacity: usize) -> (InputSender, Receiver<Input>) {
+    bounded(capacity)
 }
 
-/// The rings out of the decisions.
+/// The channels from the driver to the other workers.
 #[derive(Debug)]
-pub struct Outlets {
-    /// Calls to send.
+pub struct Outputs {
+    /// Calls to send or abort.
     pub forward: mpsc::Sender<forward::Command>,
     /// Packets to send.
     pub gossip: mpsc::Sender<(NodeId, Box<Packet>)>,
@@ -138,68 +138,70 @@
     pub platform: mpsc::Sender<(OpId, Request)>,
 }
 
-/// The longest time without a look at the clock.
-const NAP: Duration = Duration::from_millis(250);
-
-/// The most messages taken between two looks at the clock.
-const BATCH: usize = 256;
-
-/// The least time between the word that this node leaves and its exit, so
-/// that callers hear of it and none finds a closed door.
-const FAREWELL: Millis = Millis(1_000);
-
-/// The state of this thread around the core.
-struct Desk {
-    input: Receiver<Input>,
-    outlets: Outlets,
-    begun: Instant,
-    waiting: HashMap<CallId, oneshot::Sender<Done>>,
-    loads: HashMap<CallId, Load>,
-    kept: HashMap<Nonce, Answer>,
-    tickets: HashMap<QueryId, oneshot::Sender<Result<Ticket, Refusal>>>,
-    outcomes: HashMap<QueryId, oneshot::Sender<Result<Outcome, Refusal>>>,
-    changes: HashMap<QueryId, oneshot::Sender<Result<Revision, Refusal>>>,
-    asks: u64,
+/// The maximum time to wait for a message before the clock is read again.
+const MAX_INPUT_WAIT: Duration = Duration::from_millis(250);
+
+/// The maximum number of further messages handled before timers are checked.
+const MAX_INPUTS_PER_STEP: usize = 256;
+
+/// The minimum time to drain, so that peers and callers stop using this node
+/// before it stops listening.
+const MIN_DRAIN_TIME: Millis = Millis(1_000);
+
+/// The state of the driver thread other than the core's.
+struct Driver {
+    inputs: Receiver<Input>,
+    outputs: Outputs,
+    started: Instant,
+    waiters: HashMap<CallId, oneshot::Sender<Completion>>,
+    payloads: HashMap<CallId, Payload>,
+    cached_answers: HashMap<Nonce, Answer>,
+    ticket_queries: HashMap<QueryId, oneshot::Sender<Result<Ticket, Refusal>>>,
+    outcome_queries:
+        HashMap<QueryId, oneshot::Sender<Result<Outcome, Refusal>>>,
+    proposals: HashMap<QueryId, oneshot::Sender<Result<Revision, Refusal>>>,
+    last_query: u64,
     backlog: VecDeque<Event>,
     actions: Vec<Action>,
     drain: bool,
-    published: Millis,
+    last_published: Millis,
 }
 
-/// Runs the decisions until the node has drained.
+/// Runs the driver until the node has drained.
 pub fn run(
     node: Node<Starting>,
-    input: Receiver<Input>,
-    outlets: Outlets,
-    begun: Instant,
+    inputs: Receiver<Input>,
+    outputs: Outputs,
+    started: Instant,
 ) {
-    let mut desk = Desk {
-        input,
-        outlets,
-        begun,
-        waiting: HashMap::new(),
-        loads: HashMap::new(),
-        kept: HashMap::new(),
-        tickets: HashMap::new(),
-        outcomes: HashMap::new(),
-        changes: HashMap::new(),
-        asks: 0,
+    let mut driver = Driver {
+        inputs,
+        outputs,
+        started,
+        waiters: HashMap::new(),
+        payloads: HashMap::new(),
+        cached_answers: HashMap::new(),
+        ticket_queries: HashMap::new(),
+        outcome_queries: HashMap::new(),
+        proposals: HashMap::new(),
+        last_query: 0,
         backlog: VecDeque::new(),
         actions: Vec::new(),
         drain: false,
-        published: Millis(0),
+        last_published: Millis(0),
     };
-    let Some(node) = desk.start(node) else { return };
-    let node = desk.serve(node);
-    desk.drain(node);
+    let Some(node) = driver.start(node) else { return };
+    let node = driver.serve(node);
+    driver.drain(node);
 }
 
-impl Desk {
+impl Driver {
     fn now(&self) -> Millis {
-        Millis(self.begun.elapsed().as_millis() as u64)
+        Millis(self.started.elapsed().as_millis() as u64)
     }
 
-    /// Runs until a configuration is in force; `None` if told to stop first.
+    /// Runs until a configuration is in force. Returns `None` if the process
+    /// is asked to stop before that.
     fn start(&mut self, node: Node<Starting>) -> Option<Node<Serving>> {
         let mut node = node;
         loop {
@@ -210,63 +212,63 @@
             if self.drain {
                 return None;
             }
-            self.turn(&mut node);
+            self.step(&mut node);
         }
     }
 
     fn serve(&mut self, mut node: Node<Serving>) -> Node<Draining> {
         while !self.drain {
-            self.turn(&mut node);
+            self.step(&mut node);
         }
         let now = self.now();
         let mut actions = std::mem::take(&mut self.actions);
         let node = node.drain(now, &mut actions);
         self.actions = actions;
-        self.act(None);
+        self.run_actions(None);
         node
     }
 
     fn drain(&mut self, mut node: Node<Draining>) {
-        let until = self.now() + FAREWELL;
+        let until = self.now() + MIN_DRAIN_TIME;
         while !node.is_idle() || self.now() < until {
-            self.turn(&mut node);
+            self.step(&mut node);
         }
         let now = self.now();
         let mut actions = std::mem::take(&mut self.actions);
         node.leave(now, &mut actions);
         self.actions = actions;
-        self.act(None);
-        log::info!("left: nothing was in flight");
+        self.run_actions(None);
+        log::info!("drained: left the cluster with no call in flight");
     }
 
-    /// Waits for messages or for the core's next wake, and handles them.
-    fn turn<S: Stage>(&mut self, node: &mut Node<S>) {
-        let wake = node.next_wake().since(self.now());
-        let nap = Duration::from_millis(wake.0).min(NAP);
-        match self.input.recv_timeout(nap) {
-            Ok(input) => self.take(node, input),
+    /// Waits for messages or for the core's next timer, and handles them.
+    fn step<S: Stage>(&mut self, node: &mut Node<S>) {
+        let until_wake = node.next_wake().since(self.now());
+        let wait = Duration::from_millis(until_wake.0).min(MAX_INPUT_WAIT);
+        match self.inputs.recv_timeout(wait) {
+            Ok(input) => self.handle_input(node, input),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => self.drain = true,
         }
-        for _ in 0..BATCH {
-            let Ok(input) = self.input.try_recv() else { break };
-            self.take(node, input);
+        for _ in 0..MAX_INPUTS_PER_STEP {
+            let Ok(input) = self.inputs.try_recv() else { break };
+            self.handle_input(node, input);
         }
         let now = self.now();
         if node.next_wake() <= now {
-            self.handle(node, Event::Tick, None);
+            self.handle_event(node, Event::Tick, None);
         }
         self.publish(node, now);
     }
 
     fn publish<S: Stage>(&mut self, node: &Node<S>, now: Millis) {
-        if now.since(self.published) >= Millis(500) {
-            self.published = now;
+        if now.since(self.last_published) >= Millis(500) {
+            self.last_published = now;
             telemetry::publish(&node.status(now), node.stats());
         }
     }
 
-    fn handle<S: Stage>(
+    fn handle_event<S: Stage>(
         &mut self,
         node: &mut Node<S>,
         event: Event,
@@ -274,81 +276,90 @@
     ) {
         let now = self.now();
         node.handle(now, event, &mut self.actions);
-        self.act(answer);
+        self.run_actions(answer);
         while let Some(event) = self.backlog.pop_front() {
             node.handle(now, event, &mut self.actions);
-            self.act(None);
+            self.run_actions(None);
         }
     }
 
-    fn next_ask(&mut self) -> QueryId {
-        self.asks += 1;
-        QueryId(self.asks)
+    fn next_query(&mut self) -> QueryId {
+        self.last_query += 1;
+        QueryId(self.last_query)
     }
 
-    fn take<S: Stage>(&mut self, node: &mut Node<S>, input: Input) {
+    fn handle_input<S: Stage>(&mut self, node: &mut Node<S>, input: Input) {
         match input {
-            Input::Call { arrival, load, reply } => {
-                self.hold(arrival.call, load, reply);
-                self.handle(node, Event::Arrive(arrival), None);
+            Input::Call { arrival, payload, reply } => {
+                self.register(arrival.call, payload, reply);
+                self.handle_event(node, Event::Arrive(arrival), None);
             }
-            Input::Hop { call, envelope, load, reply } => {
-                self.hold(call, load, reply);
+            Input::Hop { call, envelope, payload, reply } => {
+                self.register(call, payload, reply);
                 let envelope = *envelope;
-                self.handle(node, Event::Hop { call, envelope }, None);
+                self.handle_event(node, Event::Hop { call, envelope }, None);
             }
-            Input::Returned { call, reply, answer } => {
-                self.handle(node, Event::Replied { call, reply }, answer);
+            Input::Replied { call, reply, answer } => {
+                self.handle_event(
+                    node,
+                    Event::Replied { call, reply },
+                    answer,
+                );
             }
             Input::Issue(reply) => {
-                let query = self.next_ask();
-                self.tickets.insert(query, reply);
-                self.handle(node, Event::Issue { query }, None);
+                let query = self.next_query();
+                self.ticket_queries.insert(query, reply);
+                self.handle_event(node, Event::Issue { query }, None);
             }
             Input::Inspect(ticket, reply) => {
-                let query = self.next_ask();
-                self.outcomes.insert(query, reply);
-                self.handle(node, Event::Inspect { query, ticket }, None);
+                let query = self.next_query();
+                self.outcome_queries.insert(query, reply);
+                self.handle_event(
+                    node,
+                    Event::Inspect { query, ticket },
+                    None,
+                );
             }
             Input::Propose { author, op, base, reply } => {
-                let query = self.next_ask();
-                self.changes.insert(query, reply);
+                let query = self.next_query();
+                self.proposals.insert(query, reply);
                 let event = Event::Propose { query, author, op, base };
-                self.handle(node, event, None);
+                self.handle_event(node, event, None);
             }
-            Input::Show(reply) => {
-                let view = View {
+            Input::Snapshot(reply) => {
+                let snapshot = Snapshot {
                     status: node.status(self.now()),
                     stats: node.stats().clone(),
                     config: node.configuration().clone(),
                 };
-                let _ = reply.send(Box::new(view));
+                let _ = reply.send(Box::new(snapshot));
             }
-            Input::Event(event) => self.handle(node, *event, None),
+            Input::Event(event) => self.handle_event(node, *event, None),
             Input::Drain => self.drain = true,
         }
     }
 
-    fn hold(
+    fn register(
         &mut self,
         call: CallId,
-        load: Load,
-        reply: oneshot::Sender<Done>,
+        payload: Payload,
+        reply: oneshot::Sender<Completion>,
     ) {
-        self.waiting.insert(call, reply);
-        self.loads.insert(call, load);
+        self.waiters.insert(call, reply);
+        self.payloads.insert(call, payload);
     }
 
-    /// Carries out the core's actions; `answer` is the one that just came.
-    fn act(&mut self, answer: Option<Answer>) {
+    /// Executes the pending actions of the core. `answer` is the answer of
+    /// the event that caused them, if any.
+    fn run_actions(&mut self, answer: Option<Answer>) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
-            self.carry_out(action, answer.as_ref());
+            self.run_action(action, answer.as_ref());
         }
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, action: Action, answer: Option<&Answer>) {
+    fn run_action(&mut self, action: Action, answer: Option<&Answer>) {
         match action {
             Action::Refuse { call, refusal, trailer } => {
                 self.finish(call, Err(refusal), trailer)
@@ -359,16 +370,19 @@
                 }
             }
             Action::Replay { call, nonce } => {
-                if let Some(answer) = self.kept.get(&nonce).cloned() {
+                if let Some(answer) = self.cached_answers.get(&nonce).cloned()
+                {
                     self.finish(call, Ok(answer), None);
                 }
             }
             Action::CacheAnswer { nonce } => {
                 if let Some(answer) = answer {
-                    self.kept.insert(nonce, answer.clone());
+                    self.cached_answers.insert(nonce, answer.clone());
                 }
             }
-            Action::EvictAnswer { nonce } => drop(self.kept.remove(&nonce)),
+            Action::EvictAnswer { nonce } => {
+                drop(self.cached_answers.remove(&nonce))
+            }
             Action::Forward { call, to, envelope } => {
                 self.dispatch(call, Some(to), envelope)
             }
@@ -377,28 +391,28 @@
             }
             Action::Abort { call } => {
                 let abort = forward::Command::Abort { call };
-                let _ = self.outlets.forward.try_send(abort);
+                let _ = self.outputs.forward.try_send(abort);
             }
-            Action::Release { call } => drop(self.loads.remove(&call)),
+            Action::Release { call } => drop(self.payloads.remove(&call)),
             Action::Send { to, packet } => {
-                let _ = self.outlets.gossip.try_send((to, packet));
+                let _ = self.outputs.gossip.try_send((to, packet));
             }
             Action::Platform { op, request } => {
-                if self.outlets.platform.try_send((op, request)).is_err() {
+                if self.outputs.platform.try_send((op, request)).is_err() {
                     let reply = Reply::Unavailable;
                     self.backlog.push_back(Event::Platform { op, reply });
                 }
             }
             Action::Issued { query, result } => {
-                tell(self.tickets.remove(&query), result)
+                respond(self.ticket_queries.remove(&query), result)
             }
             Action::Inspected { query, result } => {
-                tell(self.outcomes.remove(&query), result)
+                respond(self.outcome_queries.remove(&query), result)
             }
             Action::Decided { query, result } => {
-                tell(self.changes.remove(&query), result)
+                respond(self.proposals.remove(&query), result)
             }
-            Action::Note(note) => write_note(&note),
+            Action::Note(note) => log_note(&note),
         }
     }
 
@@ -408,8 +422,8 @@
         result: Result<Answer, Refusal>,
         trailer: Option<Trailer>,
     ) {
-        if let Some(reply) = self.waiting.remove(&call) {
-            let _ = reply.send(Done { result, trailer });
+        if let Some(reply) = self.waiters.remove(&call) {
+            let _ = reply.send(Completion { result, trailer });
         }
     }
 
@@ -419,37 +433,41 @@
         to: Option<NodeId>,
         envelope: Envelope,
     ) {
-        let Some(load) = self.loads.get(&call).cloned() else { return };
-        let (envelope, load) = (Box::new(envelope), Box::new(load));
-        let command = forward::Command::Send { call, to, envelope, load };
-        if self.outlets.forward.try_send(command).is_err() {
-            // The ring is full: nothing was sent, and that is certain.
+        let Some(payload) = self.payloads.get(&call).cloned() else { return };
+        let (envelope, payload) = (Box::new(envelope), Box::new(payload));
+        let command = forward::Command::Send { call, to, envelope, payload };
+        if self.outputs.forward.try_send(command).is_err() {
+            // The channel is full or closed, so the call was not sent.
             let reply = call::Reply::Unreachable;
             self.backlog.push_back(Event::Replied { call, reply });
         }
     }
 }
 
-fn tell<T>(reply: Option<oneshot::Sender<T>>, result: T) {
+fn respond<T>(reply: Option<oneshot::Sender<T>>, result: T) {
     if let Some(reply) = reply {
         let _ = reply.send(result);
     }
 }
 
-fn write_note(note: &Note) {
+fn log_note(note: &Note) {
     match note {
         Note::InForce(revision) => {
             log::info!("configuration {revision} is in force")
         }
         Note::StoreBehind(revision) => log::warn!(
-            "the store offers older configuration {revision}: not adopted"
+            "ignored older configuration {revision} from the platform's store"
         ),
-        Note::Server(state) => log::info!("backend server: {state}"),
-        Note::Shedding(true) => log::warn!("shedding load"),
-        Note::Shedding(false) => log::info!("no longer shedding load"),
+        Note::Server(state) => log::info!("backend server state: {state}"),
+        Note::Shedding(true) => {
+            log::warn!("started to shed load for the backend server")
+        }
+        Note::Shedding(false) => {
+            log::info!("stopped shedding load for the backend server")
+        }
         Note::Up(node) => log::info!("node {node} is up"),
         Note::Down(node) => log::warn!("node {node} is down"),
-        Note::Platform(true) => log::info!("the platform answers again"),
-        Note::Platform(false) => log::warn!("the platform does not answer"),
+        Note::Platform(true) => log::info!("the platform is reachable again"),
+        Note::Platform(false) => log::warn!("the platform is unreachable"),
     }
 }
--- a/crates/walnutmoor/src/worker/echo.rs
+++ b/crates/walnutmoor/src/worker/echo.rs
@@ -1,6 +1,6 @@
 /*!
-A built-in backend server that answers with an echo, so that the first try
-needs nothing else.
+A built-in backend server that describes the request in its response, for
+trying out a node.
 */
 
 use std::{convert::Infallible, net::SocketAddr};
@@ -14,11 +14,11 @@
 
 use crate::{prelude::*, wire};
 
-/// Opens the listener on a free port of the loopback.
+/// Binds a listener to a free port of the loopback address.
 ///
 /// # Errors
 ///
-/// If no port can be opened.
+/// If no port can be bound.
 pub fn open() -> Result<(std::net::TcpListener, SocketAddr), Failure> {
     let any: SocketAddr = ([127, 0, 0, 1], 0).into();
     let failed = |cause: std::io::Error| Failure::Listen {
@@ -31,7 +31,7 @@
     Ok((listener, address))
 }
 
-/// Serves until the process ends.
+/// Serves connections until the listener fails.
 pub async fn run(listener: std::net::TcpListener) {
     let Ok(listener) = TcpListener::from_std(listener) else { return };
     while let Ok((stream, _)) = listener.accept().await {
@@ -47,17 +47,17 @@
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let (parts, body) = request.into_parts();
     let size = body.collect().await.map_or(0, |b| b.to_bytes().len());
-    let name = parts.headers.get(wire::REQUEST);
-    let name = name.and_then(|v| v.to_str().ok()).unwrap_or_default();
-    let answer = serde_json::json!({
+    let id = parts.headers.get(wire::REQUEST);
+    let id = id.and_then(|v| v.to_str().ok()).unwrap_or_default();
+    let content = serde_json::json!({
         "method": parts.method.as_str(),
         "path": parts.uri.path(),
-        "request": name,
+        "request": id,
         "body_bytes": size,
     });
-    let body = format!("{answer}\n");
+    let body = format!("{content}\n");
     let mut response = Response::new(Full::new(Bytes::from(body)));
-    let kind = HeaderValue::from_static("application/json");
-    response.headers_mut().insert(http::header::CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static("application/json");
+    response.headers_mut().insert(http::header::CONTENT_TYPE, content_type);
     Ok(response)
 }
--- a/crates/walnutmoor/src/worker/forward.rs
+++ b/crates/walnutmoor/src/worker/forward.rs
@@ -1,7 +1,8 @@
 /*!
-Sends calls to peers, over HTTP/2, and to the own backend server, over
-HTTP/1 on the loopback. Only whole answers count: one that is cut is an
-error, never a short success.
+The worker that sends calls to peers, over HTTP/2, and to this node's backend
+server, over HTTP/1.
+
+An answer whose body is incomplete is reported as [`Reply::Broken`].
 */
 
 use std::{
@@ -22,7 +23,7 @@
 use walnutmoor_core::call::{Envelope, Reply};
 
 use super::{
-    driver::{Input, Load, Ring},
+    driver::{Input, InputSender, Payload},
     listen::Tokens,
 };
 use crate::{
@@ -30,75 +31,76 @@
     wire::{self, Answer},
 };
 
-/// What the decisions tell this duty.
+/// A command from the driver.
 #[derive(Debug)]
 pub enum Command {
     /// Send a call.
     Send {
-        /// Which.
+        /// The call.
         call: CallId,
-        /// To this peer; `None`: to the own backend server.
+        /// The peer, or `None` for this node's backend server.
         to: Option<NodeId>,
-        /// What goes with it.
+        /// The metadata to send with the call.
         envelope: Box<Envelope>,
         /// The request.
-        load: Box<Load>,
+        payload: Box<Payload>,
     },
-    /// Break a call off.
+    /// Abort a call.
     Abort {
-        /// Which.
+        /// The call.
         call: CallId,
     },
 }
 
-type Http = Client<HttpConnector, Full<Bytes>>;
+type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// How many HTTP/2 connections go to each peer. A server takes 200 calls at
-/// a time on one connection; the brief's instances have up to 300 slots.
-const LANES: usize = 4;
+/// The number of HTTP/2 connections to each peer. Peers limit the concurrent
+/// streams of one connection.
+const CONNECTIONS_PER_PEER: usize = 4;
 
-/// How long to wait for a connection: many round trips between zones.
-const CONNECT: Duration = Duration::from_millis(1_000);
+/// The timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long to wait between two tries to hand back an answer to a full ring.
-const PRESSURE: Duration = Duration::from_millis(1);
+/// The delay before an answer is sent again to the driver's full channel.
+const INPUT_RETRY_DELAY: Duration = Duration::from_millis(1);
 
-/// What this duty needs to know.
+/// The settings of the worker.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The ring into the decisions.
-    pub ring: Ring,
-    /// Makes the tokens that name a parent call.
+    /// The driver's channel.
+    pub inputs: InputSender,
+    /// Issues the tokens that identify a parent call.
     pub tokens: Arc<Tokens>,
-    /// Where the own backend server listens.
+    /// The address of this node's backend server, if it has one.
     pub backend: Option<SocketAddr>,
-    /// The longest answer, in bytes.
-    pub body_max: usize,
+    /// The maximum size of the body of an answer.
+    pub max_body_bytes: usize,
 }
 
 struct Sender {
     setup: Setup,
-    peers: Vec<Http>,
-    backend: Http,
-    running: Arc<Mutex<HashMap<CallId, AbortHandle>>>,
+    peers: Vec<HttpClient>,
+    backend: HttpClient,
+    in_flight: Arc<Mutex<HashMap<CallId, AbortHandle>>>,
 }
 
-/// Runs the duty until the decisions end.
+/// Runs the worker until the driver ends.
 pub async fn run(setup: Setup, mut commands: mpsc::Receiver<Command>) {
     let sender = Sender {
         setup,
-        peers: (0..LANES).map(|_| peer_client()).collect(),
+        peers: (0..CONNECTIONS_PER_PEER).map(|_| peer_client()).collect(),
         backend: backend_client(),
-        running: Arc::default(),
+        in_flight: Arc::default(),
     };
     while let Some(command) = commands.recv().await {
         match command {
-            Command::Send { call, to, envelope, load } => {
-                sender.send(call, to, &envelope, *load)
+            Command::Send { call, to, envelope, payload } => {
+                sender.send(call, to, &envelope, *payload)
             }
             Command::Abort { call } => {
-                let mut running = sender.running.lock().expect("no panic");
-                if let Some(handle) = running.remove(&call) {
+                let mut in_flight =
+                    sender.in_flight.lock().expect("no holder panics");
+                if let Some(handle) = in_flight.remove(&call) {
                     handle.abort();
                 }
             }
@@ -109,13 +111,12 @@
 fn connector() -> HttpConnector {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
-    connector.set_connect_timeout(Some(CONNECT));
+    connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
     connector
 }
 
-fn peer_client() -> Http {
-    // A request that was possibly sent is never sent again by the library:
-    // whether it may be is decided in the core.
+fn peer_client() -> HttpClient {
+    // The client must not resend requests: the core decides on retries.
     Client::builder(TokioExecutor::new())
         .timer(TokioTimer::new())
         .http2_only(true)
@@ -123,7 +124,7 @@
         .build(connector())
 }
 
-fn backend_client() -> Http {
+fn backend_client() -> HttpClient {
     Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
         .pool_idle_timeout(Duration::from_secs(5))
@@ -137,49 +138,52 @@
         call: CallId,
         to: Option<NodeId>,
         envelope: &Envelope,
-        load: Load,
+        payload: Payload,
     ) {
         let request = match to {
-            Some(to) => peer_request(to, envelope, load),
-            None => self.backend_request(call, envelope, load),
+            Some(to) => peer_request(to, envelope, payload),
+            None => self.backend_request(call, envelope, payload),
         };
         let client = match to {
-            Some(_) => &self.peers[call.0 as usize % LANES],
+            Some(_) => &self.peers[call.0 as usize % CONNECTIONS_PER_PEER],
             None => &self.backend,
         };
-        let (client, body_max) = (client.clone(), self.setup.body_max);
-        let (ring, running) = (self.setup.ring.clone(), self.running.clone());
+        let (client, max_body_bytes) =
+            (client.clone(), self.setup.max_body_bytes);
+        let (inputs, in_flight) =
+            (self.setup.inputs.clone(), self.in_flight.clone());
         let task = tokio::spawn(async move {
             let (reply, answer) = match request {
                 Some(request) => {
-                    exchange(client, request, body_max, to.is_some()).await
+                    exchange(client, request, max_body_bytes, to.is_some())
+                        .await
                 }
                 None => (Reply::Unreachable, None),
             };
-            running.lock().expect("no panic").remove(&call);
-            hand_back(ring, Input::Returned { call, reply, answer }).await;
+            in_flight.lock().expect("no holder panics").remove(&call);
+            send_input(inputs, Input::Replied { call, reply, answer }).await;
         });
-        // The duty runs on one thread, so the task has not begun yet.
-        let mut running = self.running.lock().expect("no panic");
-        running.insert(call, task.abort_handle());
+        // The runtime has one thread, so the task has not started yet.
+        let mut in_flight = self.in_flight.lock().expect("no holder panics");
+        in_flight.insert(call, task.abort_handle());
     }
 
     fn backend_request(
         &self,
         call: CallId,
         envelope: &Envelope,
-        load: Load,
+        payload: Payload,
     ) -> Option<Request<Full<Bytes>>> {
         let address = self.setup.backend?;
-        let uri = format!("http://{address}{}", load.head.path);
-        let mut request = request(&uri, load)?;
+        let uri = format!("http://{address}{}", payload.head.path);
+        let mut request = request(&uri, payload)?;
         let headers = request.headers_mut();
-        let token = self.setup.tokens.make(call);
+        let token = self.setup.tokens.issue(call);
         let left = envelope.left.0.to_string();
-        put(headers, wire::PARENT, &token);
-        put(headers, wire::DEADLINE, &left);
-        put(headers, wire::CLASS, envelope.class.as_str());
-        put(headers, wire::REQUEST, envelope.request.as_str());
+        insert_header(headers, wire::PARENT, &token);
+        insert_header(headers, wire::DEADLINE, &left);
+        insert_header(headers, wire::CLASS, envelope.class.as_str());
+        insert_header(headers, wire::REQUEST, envelope.request.as_str());
         Some(request)
     }
 }
@@ -187,37 +191,37 @@
 fn peer_request(
     to: NodeId,
     envelope: &Envelope,
-    load: Load,
+    payload: Payload,
 ) -> Option<Request<Full<Bytes>>> {
-    let (service, path) = (&envelope.service, &load.head.path);
-    let uri = format!("http://{to}{}{service}{path}", wire::HOP);
-    let mut request = request(&uri, load)?;
-    let packed = wire::pack(&envelope.encode());
-    request.headers_mut().insert(wire::ENVELOPE, packed);
+    let (service, path) = (&envelope.service, &payload.head.path);
+    let uri = format!("http://{to}{}{service}{path}", wire::HOP_PATH);
+    let mut request = request(&uri, payload)?;
+    let encoded = wire::encode_header(&envelope.encode());
+    request.headers_mut().insert(wire::ENVELOPE, encoded);
     Some(request)
 }
 
-fn request(uri: &str, load: Load) -> Option<Request<Full<Bytes>>> {
+fn request(uri: &str, payload: Payload) -> Option<Request<Full<Bytes>>> {
     let uri: Uri = uri.parse().ok()?;
-    let mut request = Request::new(Full::new(load.body));
+    let mut request = Request::new(Full::new(payload.body));
     *request.uri_mut() = uri;
-    *request.method_mut() = load.head.method;
-    *request.headers_mut() = load.head.headers;
+    *request.method_mut() = payload.head.method;
+    *request.headers_mut() = payload.head.headers;
     Some(request)
 }
 
-fn put(headers: &mut HeaderMap, name: &'static str, value: &str) {
+fn insert_header(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
 }
 
-/// Sends a request and reads the whole answer.
+/// Sends a request and reads the complete answer.
 async fn exchange(
-    client: Http,
+    client: HttpClient,
     request: Request<Full<Bytes>>,
-    body_max: usize,
-    peer: bool,
+    max_body_bytes: usize,
+    is_peer: bool,
 ) -> (Reply, Option<Answer>) {
     let response = match client.request(request).await {
         Ok(response) => response,
@@ -227,11 +231,11 @@
         Err(_) => return (Reply::Broken, None),
     };
     let (parts, body) = response.into_parts();
-    let Ok(body) = Limited::new(body, body_max).collect().await else {
+    let Ok(body) = Limited::new(body, max_body_bytes).collect().await else {
         return (Reply::Broken, None);
     };
     let body = body.to_bytes();
-    let trailer = match (peer, wire::trailer(&parts.headers)) {
+    let trailer = match (is_peer, wire::trailer(&parts.headers)) {
         (true, None) => return (Reply::Broken, None),
         (true, Some(trailer)) => trailer,
         (false, _) => Default::default(),
@@ -241,21 +245,21 @@
     }
     let size = body.len();
     let status = parts.status;
-    let headers = wire::strip(&parts.headers);
+    let headers = wire::forwardable_headers(&parts.headers);
     let answer = Answer { status, headers, body };
     let status = status.as_u16();
     (Reply::Complete { status, size, trailer }, Some(answer))
 }
 
-/// An answer must not be lost to a full ring: it waits, which slows down
-/// whatever fills the ring.
-async fn hand_back(ring: Ring, input: Input) {
+/// Sends an input to the driver and waits while the channel is full, so that
+/// no answer is lost.
+async fn send_input(inputs: InputSender, input: Input) {
     let mut input = input;
     loop {
-        match ring.try_send(input) {
-            Err(crossbeam_channel::TrySendError::Full(back)) => {
-                input = back;
-                tokio::time::sleep(PRESSURE).await;
+        match inputs.try_send(input) {
+            Err(crossbeam_channel::TrySendError::Full(returned)) => {
+                input = returned;
+                tokio::time::sleep(INPUT_RETRY_DELAY).await;
             }
             _ => return,
         }
--- a/crates/walnutmoor/src/worker/gossip.rs
+++ b/crates/walnutmoor/src/worker/gossip.rs
@@ -1,7 +1,9 @@
 /*!
-Control packets between nodes: by UDP if they fit in a datagram, by a
-JSON-RPC call otherwise. This duty has its own thread and sockets, so that
-control never queues behind calls.
+The worker that exchanges control packets with peers: over UDP if a packet
+fits in a datagram, otherwise as a JSON-RPC call.
+
+It has its own thread and sockets, so that control packets do not queue behind
+calls.
 */
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
@@ -18,71 +20,75 @@
 use tokio::{net::UdpSocket, sync::mpsc};
 use walnutmoor_core::{gossip::Packet, node::Event};
 
-use super::driver::{Input, Ring};
+use super::driver::{Input, InputSender};
 use crate::prelude::*;
 
-/// The longest datagram: the smallest MTU of IPv6 less headers, so that no
-/// packet is ever split on the way.
-pub const DATAGRAM_MAX: usize = 1_200;
+/// The maximum size of a datagram: below the minimum MTU of IPv6 less headers,
+/// so that no datagram is fragmented.
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// The longest control message by JSON-RPC: a value of the platform, in
-/// base64, with room to spare.
-const LONG_MAX: u32 = 2 << 20;
+/// The maximum size of a JSON-RPC message. A value of the platform in base64
+/// fits.
+const MAX_RPC_BYTES: u32 = 2 << 20;
 
-/// How long a long message may take.
-const PATIENCE: Duration = Duration::from_millis(2_000);
+/// The timeout of a JSON-RPC call.
+const RPC_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// The one method of the control interface.
-const DELIVER: &str = "deliver";
+/// The JSON-RPC method that delivers a packet.
+const DELIVER_METHOD: &str = "deliver";
 
-/// The most connections kept for long messages.
-const CLIENTS_MAX: usize = 64;
+/// The maximum number of cached JSON-RPC clients.
+const MAX_RPC_CLIENTS: usize = 64;
 
-/// Where a node takes long control messages: one port above its own.
+/// Returns the address of a node's JSON-RPC listener: the port after the
+/// node's own.
 pub fn control_address(node: NodeId) -> SocketAddr {
     SocketAddr::new(node.0.ip(), node.0.port() + 1)
 }
 
-/// The sockets of this duty.
+/// The sockets of the worker.
 pub struct Sockets {
     udp: std::net::UdpSocket,
     control: std::net::TcpListener,
 }
 
 impl Sockets {
-    /// Opens both.
+    /// Binds the UDP socket and the JSON-RPC listener of a node.
     ///
     /// # Errors
     ///
     /// If an address cannot be bound.
     pub fn open(node: NodeId) -> Result<Sockets, Failure> {
-        let listen = |address: SocketAddr| {
+        let listen_error = |address: SocketAddr| {
             move |cause: std::io::Error| Failure::Listen {
                 address: address.to_string(),
                 cause: cause.to_string(),
             }
         };
-        let udp = std::net::UdpSocket::bind(node.0).map_err(listen(node.0))?;
-        udp.set_nonblocking(true).map_err(listen(node.0))?;
-        let above = control_address(node);
-        let control =
-            std::net::TcpListener::bind(above).map_err(listen(above))?;
-        control.set_nonblocking(true).map_err(listen(above))?;
+        let udp =
+            std::net::UdpSocket::bind(node.0).map_err(listen_error(node.0))?;
+        udp.set_nonblocking(true).map_err(listen_error(node.0))?;
+        let rpc_address = control_address(node);
+        let control = std::net::TcpListener::bind(rpc_address)
+            .map_err(listen_error(rpc_address))?;
+        control.set_nonblocking(true).map_err(listen_error(rpc_address))?;
         Ok(Sockets { udp, control })
     }
 }
 
-/// Runs the duty until the decisions end.
+/// Runs the worker until the driver ends.
 pub async fn run(
     sockets: Sockets,
-    ring: Ring,
+    inputs: InputSender,
     mut outbox: mpsc::Receiver<(NodeId, Box<Packet>)>,
 ) {
     let Ok(udp) = UdpSocket::from_std(sockets.udp) else { return };
-    let _server = match serve_control(sockets.control, ring.clone()).await {
+    let _server = match serve_control(sockets.control, inputs.clone()).await {
         Ok(handle) => handle,
         Err(error) => {
-            log::error!("no control interface: {error}");
+            log::error!(
+                "cannot start the JSON-RPC server for control packets: {error}"
+            );
             return;
         }
     };
@@ -91,11 +97,11 @@
     loop {
         tokio::select! {
             biased;
-            got = udp.recv_from(&mut buffer) => {
-                if let Ok((size, _)) = got {
+            received = udp.recv_from(&mut buffer) => {
+                if let Ok((size, _)) = received {
                     counter!("walnutmoor_control_bytes_total", "way" => "in")
                         .increment(size as u64);
-                    take(&ring, &buffer[..size]);
+                    receive(&inputs, &buffer[..size]);
                 }
             }
             next = outbox.recv() => match next {
@@ -108,13 +114,13 @@
     }
 }
 
-fn take(ring: &Ring, bytes: &[u8]) {
+fn receive(inputs: &InputSender, bytes: &[u8]) {
     let Some(packet) = Packet::decode(bytes) else {
         counter!("walnutmoor_packets_malformed_total").increment(1);
         return;
     };
     let event = Box::new(Event::Packet(Box::new(packet)));
-    if ring.try_send(Input::Event(event)).is_err() {
+    if inputs.try_send(Input::Event(event)).is_err() {
         counter!("walnutmoor_packets_dropped_total").increment(1);
     }
 }
@@ -128,11 +134,11 @@
     let bytes = packet.encode();
     counter!("walnutmoor_control_bytes_total", "way" => "out")
         .increment(bytes.len() as u64);
-    if bytes.len() <= DATAGRAM_MAX {
+    if bytes.len() <= MAX_DATAGRAM_BYTES {
         let _ = udp.send_to(&bytes, to.0).await;
         return;
     }
-    if clients.len() >= CLIENTS_MAX && !clients.contains_key(&to) {
+    if clients.len() >= MAX_RPC_CLIENTS && !clients.contains_key(&to) {
         clients.clear();
     }
     let client = match clients.get(&to) {
@@ -140,20 +146,20 @@
         None => {
             let url = format!("http://{}", control_address(to));
             let built = HttpClientBuilder::default()
-                .request_timeout(PATIENCE)
-                .max_request_size(LONG_MAX)
+                .request_timeout(RPC_TIMEOUT)
+                .max_request_size(MAX_RPC_BYTES)
                 .build(url);
             let Ok(client) = built else { return };
             clients.insert(to, client.clone());
             client
         }
     };
-    // In its own task: a slow peer must not hold up the datagrams.
+    // In a task of its own, so that a slow peer does not delay datagrams.
     tokio::spawn(async move {
         let text = STANDARD_NO_PAD.encode(&bytes);
-        let done: Result<bool, _> =
-            client.request(DELIVER, rpc_params![text]).await;
-        if done.is_err() {
+        let result: Result<bool, _> =
+            client.request(DELIVER_METHOD, rpc_params![text]).await;
+        if result.is_err() {
             counter!("walnutmoor_packets_undelivered_total").increment(1);
         }
     });
@@ -161,23 +167,23 @@
 
 async fn serve_control(
     listener: std::net::TcpListener,
-    ring: Ring,
+    inputs: InputSender,
 ) -> Result<ServerHandle, String> {
     let config = jsonrpsee::server::ServerConfig::builder()
-        .max_request_body_size(LONG_MAX)
+        .max_request_body_size(MAX_RPC_BYTES)
         .build();
     let server = Server::builder()
         .set_config(config)
         .build_from_tcp(listener)
         .map_err(|error| error.to_string())?;
-    let mut module = RpcModule::new(Arc::new(ring));
+    let mut module = RpcModule::new(Arc::new(inputs));
     module
-        .register_method(DELIVER, |params, ring, _| {
+        .register_method(DELIVER_METHOD, |params, inputs, _| {
             let text: String = params.one()?;
             let bytes = STANDARD_NO_PAD.decode(text).unwrap_or_default();
             counter!("walnutmoor_control_bytes_total", "way" => "in")
                 .increment(bytes.len() as u64);
-            take(ring, &bytes);
+            receive(inputs, &bytes);
             Ok::<bool, ErrorObjectOwned>(true)
         })
         .map_err(|error| error.to_string())?;
--- a/crates/walnutmoor/src/worker/listen.rs
+++ b/crates/walnutmoor/src/worker/listen.rs
@@ -1,6 +1,6 @@
 /*!
-What the two listeners for calls share: reading a bounded body, handing the
-call to the decisions, and waiting for its final answer.
+The common parts of the HTTP listeners: reading a bounded body, submitting a
+call to the driver and waiting for its completion.
 */
 
 use std::{
@@ -23,72 +23,73 @@
 use tokio::sync::oneshot;
 use walnutmoor_core::{error::Kind, node::Event};
 
-use super::driver::{Done, Input, Load, Ring};
+use super::driver::{Completion, Input, InputSender, Payload};
 use crate::{
     prelude::*,
     wire::{self, Answer, Head},
 };
 
-/// The state that handlers share.
+/// The state shared by the handlers.
 #[derive(Debug)]
 pub struct Context {
-    /// The ring into the decisions.
-    pub ring: Ring,
-    /// Draws call numbers; shared by all listeners.
-    pub calls: Arc<AtomicU64>,
-    /// Makes and checks the tokens that name a parent call.
+    /// The driver's channel.
+    pub inputs: InputSender,
+    /// The next call id; shared by all listeners.
+    pub call_counter: Arc<AtomicU64>,
+    /// Issues and verifies the tokens that identify a parent call.
     pub tokens: Arc<Tokens>,
-    /// The longest body, in bytes.
-    pub body_max: usize,
-    /// The retries of one whole request.
+    /// The maximum size of a request body.
+    pub max_body_bytes: usize,
+    /// The retry budget of one whole request.
     pub retries: u8,
 }
 
 impl Context {
-    /// The next call number.
+    /// Returns a new call id.
     pub fn next_call(&self) -> CallId {
-        CallId(self.calls.fetch_add(1, Ordering::Relaxed))
+        CallId(self.call_counter.fetch_add(1, Ordering::Relaxed))
     }
 }
 
-/// Tokens by which the own backend server names the call that it runs.
+/// Tokens that identify a call to the backend server that runs it.
 ///
-/// A caller that made one up would skip admission, so each token carries a
-/// keyed hash (SipHash, from the standard library) of the call number.
+/// Nested calls name their parent by its token and skip admission control.
+/// Each token therefore contains a keyed hash of the call id, so that callers
+/// cannot forge one.
 #[derive(Debug, Default)]
 pub struct Tokens {
     key: std::hash::RandomState,
 }
 
 impl Tokens {
-    /// The token of a call.
-    pub fn make(&self, call: CallId) -> String {
-        format!("{:x}.{:x}", call.0, self.check(call))
+    /// Returns the token of a call.
+    pub fn issue(&self, call: CallId) -> String {
+        format!("{:x}.{:x}", call.0, self.mac(call))
     }
 
-    /// The call of a token, if the token is genuine.
-    pub fn read(&self, token: &str) -> Option<CallId> {
-        let (call, check) = token.split_once('.')?;
+    /// Returns the call of a token, or `None` if the token is invalid.
+    pub fn verify(&self, token: &str) -> Option<CallId> {
+        let (call, mac) = token.split_once('.')?;
         let call = CallId(u64::from_str_radix(call, 16).ok()?);
-        let check = u64::from_str_radix(check, 16).ok()?;
-        (check == self.check(call)).then_some(call)
+        let mac = u64::from_str_radix(mac, 16).ok()?;
+        (mac == self.mac(call)).then_some(call)
     }
 
-    fn check(&self, call: CallId) -> u64 {
+    fn mac(&self, call: CallId) -> u64 {
         use std::hash::BuildHasher;
         self.key.hash_one(call.0)
     }
 }
 
-/// The rest of a path. dropshot wants path parameters to be taken; the
-/// handlers read the raw path, in which nothing is decoded.
+/// The wildcard parameter of a path. dropshot requires handlers to declare it;
+/// they read the raw path instead, which is not percent-decoded.
 #[derive(Deserialize, JsonSchema)]
-pub struct Rest {
+pub struct Wildcard {
     #[serde(rename = "path")]
     _path: Vec<String>,
 }
 
-/// One name in a path, likewise.
+/// The name parameter of a path, which is likewise unused.
 #[derive(Deserialize, JsonSchema)]
 pub struct Name {
     #[serde(rename = "name")]
@@ -104,25 +105,25 @@
     api: ApiDescription<C>,
     context: C,
     address: SocketAddr,
-    body_max: usize,
+    max_body_bytes: usize,
 ) -> Result<HttpServer<C>, Failure> {
     let config = ConfigDropshot {
         bind_address: address,
-        default_request_body_max_bytes: body_max,
+        default_request_body_max_bytes: max_body_bytes,
         default_handler_task_mode: HandlerTaskMode::CancelOnDisconnect,
         ..ConfigDropshot::default()
     };
-    // dropshot logs each request through slog. Lines are for changes of
-    // state only, so its own log is dropped; counters tell of requests.
+    // dropshot logs each request. Requests are counted in metrics instead,
+    // so its log is discarded.
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let server = ServerBuilder::new(api, context, log).config(config);
     server.start().map_err(|cause| Failure::Listen {
         address: address.to_string(),
-        cause: deepest(&cause),
+        cause: root_cause(&cause),
     })
 }
 
-fn deepest(error: &dyn std::error::Error) -> String {
+fn root_cause(error: &dyn std::error::Error) -> String {
     let mut error = error;
     while let Some(source) = error.source() {
         error = source;
@@ -132,29 +133,33 @@
 
 /// Why a body could not be read.
 pub enum BodyError {
-    /// It is longer than allowed.
+    /// It is longer than the limit.
     TooLarge,
-    /// It ended early or is malformed.
-    Cut,
+    /// The connection ended early, or the encoding is malformed.
+    Incomplete,
 }
 
-/// Reads a whole body, or none.
+/// Reads a complete body of at most `max_bytes` bytes.
 ///
 /// # Errors
 ///
-/// If it is too long or cut.
-pub async fn read_body(body: Body, max: usize) -> Result<Bytes, BodyError> {
-    match Limited::new(body, max).collect().await {
+/// If it is too long or incomplete.
+pub async fn read_body(
+    body: Body,
+    max_bytes: usize,
+) -> Result<Bytes, BodyError> {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(whole) => Ok(whole.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => {
             Err(BodyError::TooLarge)
         }
-        Err(_) => Err(BodyError::Cut),
+        Err(_) => Err(BodyError::Incomplete),
     }
 }
 
-/// The path and query below `prefix` and the service.
-pub fn below(uri: &http::Uri, prefix: &str) -> (String, String) {
+/// Splits the path after `prefix` into the service and the rest, which
+/// includes the query.
+pub fn split_path(uri: &http::Uri, prefix: &str) -> (String, String) {
     let path = uri.path().strip_prefix(prefix).unwrap_or_default();
     let (service, rest) = match path.split_once('/') {
         Some((service, rest)) => (service, format!("/{rest}")),
@@ -164,63 +169,64 @@
     (service.to_string(), rest + &query)
 }
 
-/// Makes the load of a request.
-pub fn load(
+/// Creates the payload of a request, without headers that are not forwarded.
+pub fn payload(
     method: http::Method,
     path: String,
     headers: &HeaderMap,
     body: Bytes,
-) -> Load {
-    let headers = wire::strip(headers);
-    Load { head: Head { method, path, headers }, body }
+) -> Payload {
+    let headers = wire::forwardable_headers(headers);
+    Payload { head: Head { method, path, headers }, body }
 }
 
-/// Hands a call to the decisions and waits for its final answer. If the
-/// future is dropped, because the caller went away, the call is canceled.
+/// Submits a call to the driver and waits for its completion. If the future is
+/// dropped because the client disconnected, the call is canceled.
 pub async fn submit(
     context: &Context,
     call: CallId,
-    make: impl FnOnce(oneshot::Sender<Done>) -> Input,
-) -> Done {
+    input: impl FnOnce(oneshot::Sender<Completion>) -> Input,
+) -> Completion {
     let (sender, receiver) = oneshot::channel();
-    if context.ring.try_send(make(sender)).is_err() {
-        return full();
+    if context.inputs.try_send(input(sender)).is_err() {
+        return channel_full();
     }
-    let mut guard = Guard { ring: &context.ring, call: Some(call) };
-    let done = receiver.await.unwrap_or_else(|_| gone());
+    let mut guard = CancelGuard { inputs: &context.inputs, call: Some(call) };
+    let completion = receiver.await.unwrap_or_else(|_| channel_closed());
     guard.call = None;
-    done
+    completion
 }
 
-fn full() -> Done {
+fn channel_full() -> Completion {
     let refusal = Refusal::new(Kind::Full, Ran::No);
     let refusal = refusal.retry_after(Millis(1_000));
-    Done { result: Err(refusal), trailer: None }
+    Completion { result: Err(refusal), trailer: None }
 }
 
-/// The decisions ended without an answer: the process is stopping.
-fn gone() -> Done {
+/// The completion if the driver ended first, which happens when the process
+/// stops.
+fn channel_closed() -> Completion {
     let refusal = Refusal::new(Kind::Broken, Ran::Unknown);
-    Done { result: Err(refusal), trailer: None }
+    Completion { result: Err(refusal), trailer: None }
 }
 
-struct Guard<'a> {
-    ring: &'a Ring,
+/// Cancels a call when dropped, unless `call` has been cleared.
+struct CancelGuard<'a> {
+    inputs: &'a InputSender,
     call: Option<CallId>,
 }
 
-impl Drop for Guard<'_> {
+impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
         if let Some(call) = self.call {
             let event = Box::new(Event::Cancel { call });
-            // A full ring loses the cancel; the deadline still ends the
-            // call.
-            let _ = self.ring.try_send(Input::Event(event));
+            // If the channel is full, the deadline ends the call.
+            let _ = self.inputs.try_send(Input::Event(event));
         }
     }
 }
 
-/// Makes an HTTP response of an answer.
+/// Converts an answer to an HTTP response.
 pub fn response(answer: Answer) -> Response<Body> {
     let mut response = Response::new(Body::from(answer.body));
     *response.status_mut() = answer.status;
--- a/crates/walnutmoor/src/worker/mod.rs
+++ b/crates/walnutmoor/src/worker/mod.rs
@@ -1,19 +1,19 @@
 /*!
-The duties of the process, a thread each, joined by bounded rings.
+The worker threads of the daemon, which communicate over bounded channels.
 
-| duty | what it does |
+| worker | purpose |
 |---|---|
-| [`caller`] | takes calls from callers and from the own backend server |
-| [`peer`] | takes calls that peers pass on |
-| [`driver`] | owns all state; the only thread that decides |
-| [`forward`] | sends calls to peers and to the own backend server |
-| [`gossip`] | sends and takes control packets |
-| [`platform`] | talks to the object API |
-| [`operator`] | answers operators, serves metrics |
+| [`caller`] | receives calls of callers and of this node's backend server |
+| [`peer`] | receives calls that peers forward |
+| [`driver`] | runs the node state machine |
+| [`forward`] | sends calls to peers and to this node's backend server |
+| [`gossip`] | exchanges control packets with peers |
+| [`platform`] | sends requests to the platform |
+| [`operator`] | serves the operator API and metrics |
 
-A full ring refuses: a call is told `full`, a packet is dropped as if lost, a
-request to the platform counts as not answered. Control packets have their own
-thread and socket, so they never queue behind calls.
+If a channel is full, a call is refused with `full`, a packet is dropped, and a
+request to the platform counts as unanswered. [`listen`] holds what the HTTP
+listeners share; [`echo`] is a built-in backend server.
 */
 
 pub mod caller;
@@ -30,12 +30,12 @@
 
 use crate::prelude::*;
 
-/// Starts a thread that runs one asynchronous duty on its own runtime.
+/// Starts a thread that runs an asynchronous worker on its own runtime.
 ///
 /// # Errors
 ///
 /// If the thread cannot be started.
-pub fn spawn<F, T>(name: &str, duty: T) -> Result<(), Failure>
+pub fn spawn<F, T>(name: &str, worker: T) -> Result<(), Failure>
 where
     T: FnOnce() -> F + Send + 'static,
     F: Future<Output = ()>,
@@ -45,10 +45,13 @@
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_all().build();
         match runtime {
-            Ok(runtime) => runtime.block_on(duty()),
-            Err(error) => log::error!("no runtime for a duty: {error}"),
+            Ok(runtime) => runtime.block_on(worker()),
+            Err(error) => {
+                log::error!("cannot start the runtime of a worker: {error}")
+            }
         }
     };
-    let failed = |error| Failure::Internal(format!("no thread: {error}"));
+    let failed =
+        |error| Failure::Internal(format!("cannot start a thread: {error}"));
     builder.spawn(run).map(drop).map_err(failed)
 }
--- a/crates/walnutmoor/src/worker/operator.rs
+++ b/crates/walnutmoor/src/worker/operator.rs
@@ -1,7 +1,9 @@
 /*!
-The operators' interface: classes, configuration, audit trail, status and
-metrics. A change names the revision that it is based on with `If-Match`;
-without one it applies to whatever is in force.
+The HTTP API for operators: classes, configuration, audit trail, status and
+metrics.
+
+A change gives the revision that it is based on in `If-Match`. Without that
+header it applies to the configuration in force.
 */
 
 use std::{
@@ -26,82 +28,82 @@
 };
 
 use super::{
-    driver::{Input, Ring, View},
+    driver::{Input, InputSender, Snapshot},
     listen::{self, Name},
 };
 use crate::{platform::Platform, prelude::*, settings::Span, telemetry, wire};
 
-/// The state that handlers share.
+/// The state shared by the handlers.
 #[derive(Debug)]
 pub struct Context {
-    /// The ring into the decisions.
-    pub ring: Ring,
-    /// For the older pages of the audit trail.
+    /// The driver's channel.
+    pub inputs: InputSender,
+    /// The platform, which stores older audit entries.
     pub platform: Arc<Platform>,
 }
 
-/// The longest body of a change, in bytes.
-const BODY_MAX: usize = 4_096;
+/// The maximum size of the body of a change.
+const MAX_BODY_BYTES: usize = 4_096;
 
-/// Names the operator on a change; kept in the audit trail.
+/// The header that names the operator of a change, for the audit trail.
 pub const OPERATOR: &str = "walnutmoor-operator";
 
-/// Names the change, so that sending it again after a lost answer does not
-/// make it twice.
+/// The header that identifies a change. A retry with the same value does not
+/// apply the change twice.
 pub const CHANGE: &str = "walnutmoor-change";
 
-/// A class as operators write it.
+/// The specification of a class in a request.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Wanted {
-    /// What sort of work it is.
+pub struct ClassSpec {
+    /// The kind of work.
     pub kind: ClassKind,
-    /// What is asked of it.
-    pub target: WantedTarget,
+    /// The target for its calls.
+    pub target: TargetSpec,
 }
 
-/// A target as operators write it.
+/// The specification of a target in a request.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct WantedTarget {
-    /// The share to complete, as in `99.5%`.
+pub struct TargetSpec {
+    /// The share of calls to complete in time, as in `99.5%`.
     pub share: Share,
-    /// Within how long, as in `2s`.
+    /// The time in which to complete them, as in `2s`.
     pub within: Span,
 }
 
-/// A class as operators see it.
+/// A class in a response.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct Shown {
-    /// Its name.
+pub struct ClassView {
+    /// The name.
     pub name: id::Class,
-    /// The rest.
+    /// The specification.
     #[serde(flatten)]
-    pub wanted: Wanted,
+    pub spec: ClassSpec,
 }
 
-impl From<&Class> for Shown {
-    fn from(class: &Class) -> Shown {
+impl From<&Class> for ClassView {
+    fn from(class: &Class) -> ClassView {
         let within = Span(class.target.within);
-        let target = WantedTarget { share: class.target.share, within };
-        let wanted = Wanted { kind: class.kind, target };
-        Shown { name: class.name.clone(), wanted }
+        let target = TargetSpec { share: class.target.share, within };
+        let spec = ClassSpec { kind: class.kind, target };
+        ClassView { name: class.name.clone(), spec }
     }
 }
 
-/// The configuration as operators see it.
+/// The configuration in a response.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct ShownConfig {
+pub struct ConfigView {
     /// The revision in force.
     pub revision: Revision,
-    /// The classes, in the order in which they are refused last.
-    pub classes: Vec<Shown>,
+    /// The classes, from the one that is refused last.
+    pub classes: Vec<ClassView>,
 }
 
-/// The answer to a change.
+/// The response to an accepted change.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct Accepted {
-    /// The revision that it made.
+    /// The revision that the change created.
     pub revision: Revision,
 }
 
@@ -125,29 +127,32 @@
         .and_then(|()| api.register(status_get))
         .and_then(|()| api.register(metrics_get));
     registered.map_err(|error| Failure::Internal(error.to_string()))?;
-    listen::start(api, context, address, BODY_MAX)
+    listen::start(api, context, address, MAX_BODY_BYTES)
 }
 
-type Outcome = Result<Response<Body>, HttpError>;
+type HttpResult = Result<Response<Body>, HttpError>;
 
-fn reply(
+fn respond(
     status: StatusCode,
-    kind: &'static str,
+    content_type: &'static str,
     body: String,
 ) -> Response<Body> {
     let mut response = Response::new(Body::from(body));
     *response.status_mut() = status;
-    let kind = http::HeaderValue::from_static(kind);
-    response.headers_mut().insert(header::CONTENT_TYPE, kind);
+    let content_type = http::HeaderValue::from_static(content_type);
+    response.headers_mut().insert(header::CONTENT_TYPE, content_type);
     response
 }
 
 fn json<T: Serialize>(value: &T) -> Response<Body> {
     let body = serde_json::to_string(value).expect("plain data serializes");
-    reply(StatusCode::OK, "application/json", body)
+    respond(StatusCode::OK, "application/json", body)
 }
 
-fn tagged<T: Serialize>(revision: Revision, value: &T) -> Response<Body> {
+fn json_with_etag<T: Serialize>(
+    revision: Revision,
+    value: &T,
+) -> Response<Body> {
     let mut response = json(value);
     let tag = format!("\"{revision}\"");
     if let Ok(tag) = tag.parse() {
@@ -169,31 +174,37 @@
     Refusal::new(Kind::Leaving, Ran::No)
 }
 
-async fn view(context: &Context) -> Result<Box<View>, Refusal> {
+async fn snapshot(context: &Context) -> Result<Box<Snapshot>, Refusal> {
     let (sender, receiver) = oneshot::channel();
-    let sent = context.ring.try_send(Input::Show(sender));
+    let sent = context.inputs.try_send(Input::Snapshot(sender));
     sent.map_err(|_| stopping())?;
     receiver.await.map_err(|_| stopping())
 }
 
-fn show(config: &Config) -> ShownConfig {
+fn config_view(config: &Config) -> ConfigView {
     let ranked = walnutmoor_core::class::rank(config.classes.values());
-    let classes = ranked.map(|(class, _)| Shown::from(class)).collect();
-    ShownConfig { revision: config.revision, classes }
+    let classes = ranked.map(|(class, _)| ClassView::from(class)).collect();
+    ConfigView { revision: config.revision, classes }
 }
 
 #[endpoint { method = GET, path = "/v1/classes", unpublished = true }]
-async fn class_list(context: RequestContext<Context>) -> Outcome {
-    Ok(match view(context.context()).await {
-        Ok(view) => tagged(view.config.revision, &show(&view.config)),
+async fn class_list(context: RequestContext<Context>) -> HttpResult {
+    Ok(match snapshot(context.context()).await {
+        Ok(snapshot) => json_with_etag(
+            snapshot.config.revision,
+            &config_view(&snapshot.config),
+        ),
         Err(refusal) => refused(&refusal, None),
     })
 }
 
 #[endpoint { method = GET, path = "/v1/config", unpublished = true }]
-async fn config_get(context: RequestContext<Context>) -> Outcome {
-    Ok(match view(context.context()).await {
-        Ok(view) => tagged(view.config.revision, &show(&view.config)),
+async fn config_get(context: RequestContext<Context>) -> HttpResult {
+    Ok(match snapshot(context.context()).await {
+        Ok(snapshot) => json_with_etag(
+            snapshot.config.revision,
+            &config_view(&snapshot.config),
+        ),
         Err(refusal) => refused(&refusal, None),
     })
 }
@@ -208,18 +219,20 @@
     context: RequestContext<Context>,
     _name: Path<Name>,
     request: RawRequest,
-) -> Outcome {
+) -> HttpResult {
     let uri = request.into_inner().uri().clone();
     let name = match class_name(uri.path()) {
         Ok(name) => name,
         Err(detail) => return Ok(malformed(&detail)),
     };
-    let view = match view(context.context()).await {
-        Ok(view) => view,
+    let snapshot = match snapshot(context.context()).await {
+        Ok(snapshot) => snapshot,
         Err(refusal) => return Ok(refused(&refusal, None)),
     };
-    Ok(match view.config.classes.get(&name) {
-        Some(class) => tagged(view.config.revision, &Shown::from(class)),
+    Ok(match snapshot.config.classes.get(&name) {
+        Some(class) => {
+            json_with_etag(snapshot.config.revision, &ClassView::from(class))
+        }
         None => {
             let unknown = Refusal::new(Kind::UnknownClass, Ran::No);
             refused(&unknown, None)
@@ -232,22 +245,22 @@
     context: RequestContext<Context>,
     _name: Path<Name>,
     request: RawRequest,
-) -> Outcome {
+) -> HttpResult {
     let (parts, body) = request.into_inner().into_parts();
     let name = match class_name(parts.uri.path()) {
         Ok(name) => name,
         Err(detail) => return Ok(malformed(&detail)),
     };
-    let Ok(body) = listen::read_body(body, BODY_MAX).await else {
-        return Ok(malformed("the body is too long or cut"));
+    let Ok(body) = listen::read_body(body, MAX_BODY_BYTES).await else {
+        return Ok(malformed("the body is too long or incomplete"));
     };
-    let wanted: Wanted = match serde_json::from_slice(&body) {
-        Ok(wanted) => wanted,
+    let spec: ClassSpec = match serde_json::from_slice(&body) {
+        Ok(spec) => spec,
         Err(error) => return Ok(malformed(&error.to_string())),
     };
-    let share = wanted.target.share;
-    let target = Target { share, within: wanted.target.within.0 };
-    let class = Class { name, kind: wanted.kind, target };
+    let share = spec.target.share;
+    let target = Target { share, within: spec.target.within.0 };
+    let class = Class { name, kind: spec.kind, target };
     change(context.context(), &parts.headers, Op::Set(class)).await
 }
 
@@ -260,7 +273,7 @@
     context: RequestContext<Context>,
     _name: Path<Name>,
     request: RawRequest,
-) -> Outcome {
+) -> HttpResult {
     let (parts, _) = request.into_inner().into_parts();
     match class_name(parts.uri.path()) {
         Ok(name) => {
@@ -271,8 +284,8 @@
     }
 }
 
-async fn change(context: &Context, headers: &HeaderMap, op: Op) -> Outcome {
-    let base = match base(headers) {
+async fn change(context: &Context, headers: &HeaderMap, op: Op) -> HttpResult {
+    let base = match base_revision(headers) {
         Ok(base) => base,
         Err(detail) => return Ok(malformed(detail)),
     };
@@ -282,25 +295,27 @@
     };
     let (sender, receiver) = oneshot::channel();
     let propose = Input::Propose { author, op, base, reply: sender };
-    if context.ring.try_send(propose).is_err() {
+    if context.inputs.try_send(propose).is_err() {
         return Ok(refused(&Refusal::new(Kind::Full, Ran::No), None));
     }
     let result = receiver
         .await
         .unwrap_or_else(|_| Err(Refusal::new(Kind::Leaving, Ran::Unknown)));
     Ok(match result {
-        Ok(revision) => tagged(revision, &Accepted { revision }),
+        Ok(revision) => json_with_etag(revision, &Accepted { revision }),
         Err(refusal) => refused(&refusal, None),
     })
 }
 
-fn base(headers: &HeaderMap) -> Result<Option<Revision>, &'static str> {
+fn base_revision(
+    headers: &HeaderMap,
+) -> Result<Option<Revision>, &'static str> {
     let Some(tag) = headers.get(header::IF_MATCH) else {
         return Ok(None);
     };
     let text = tag.to_str().unwrap_or_default().trim_matches('"');
-    let wrong = "If-Match names no revision";
-    text.parse().map(Some).map_err(|_| wrong)
+    let detail = "If-Match is not a revision";
+    text.parse().map(Some).map_err(|_| detail)
 }
 
 fn author(headers: &HeaderMap) -> Result<Author, String> {
@@ -310,8 +325,8 @@
     };
     let by = text(OPERATOR).unwrap_or_else(|| "unnamed".to_string());
     let by = by.chars().take(id::MAX_NAME_BYTES).collect();
-    let drawn = || format!("{:032x}", rand::random::<u128>());
-    let change = text(CHANGE).unwrap_or_else(drawn).parse();
+    let random = || format!("{:032x}", rand::random::<u128>());
+    let change = text(CHANGE).unwrap_or_else(random).parse();
     let change = change.map_err(|e: id::ParseError| e.to_string())?;
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let at = since.map_or(0, |span| span.as_millis() as u64);
@@ -319,21 +334,22 @@
 }
 
 #[endpoint { method = GET, path = "/v1/audit", unpublished = true }]
-async fn audit_get(context: RequestContext<Context>) -> Outcome {
+async fn audit_get(context: RequestContext<Context>) -> HttpResult {
     let context = context.context();
-    let view = match view(context).await {
-        Ok(view) => view,
+    let snapshot = match snapshot(context).await {
+        Ok(snapshot) => snapshot,
         Err(refusal) => return Ok(refused(&refusal, None)),
     };
-    let mut entries = older(&context.platform).await;
+    let mut entries = stored_entries(&context.platform).await;
     let last = entries.last().map_or(0, |e| e.revision.0);
-    let newer = view.config.journal.into_iter();
+    let newer = snapshot.config.journal.into_iter();
     entries.extend(newer.filter(|e| e.revision.0 > last));
     Ok(json(&entries))
 }
 
-/// The pages of the audit trail, oldest first; none in an outage.
-async fn older(platform: &Platform) -> Vec<Entry> {
+/// Returns the audit entries on the platform, oldest first; none if the
+/// platform is unreachable.
+async fn stored_entries(platform: &Platform) -> Vec<Entry> {
     let prefix = platform::Key("audit/".to_string());
     let list = platform::Request::List { prefix };
     let Reply::Listed(pages) = platform.call(list).await else {
@@ -349,24 +365,24 @@
 }
 
 #[derive(Serialize)]
-struct Shows<'a> {
+struct StatusView<'a> {
     status: &'a walnutmoor_core::node::Status,
     counters: &'a walnutmoor_core::node::Stats,
 }
 
 #[endpoint { method = GET, path = "/v1/status", unpublished = true }]
-async fn status_get(context: RequestContext<Context>) -> Outcome {
-    Ok(match view(context.context()).await {
-        Ok(view) => {
-            let (status, counters) = (&view.status, &view.stats);
-            json(&Shows { status, counters })
+async fn status_get(context: RequestContext<Context>) -> HttpResult {
+    Ok(match snapshot(context.context()).await {
+        Ok(snapshot) => {
+            let (status, counters) = (&snapshot.status, &snapshot.stats);
+            json(&StatusView { status, counters })
         }
         Err(refusal) => refused(&refusal, None),
     })
 }
 
 #[endpoint { method = GET, path = "/metrics", unpublished = true }]
-async fn metrics_get(_: RequestContext<Context>) -> Outcome {
-    let kind = "text/plain; version=0.0.4";
-    Ok(reply(StatusCode::OK, kind, telemetry::render()))
+async fn metrics_get(_: RequestContext<Context>) -> HttpResult {
+    let content_type = "text/plain; version=0.0.4";
+    Ok(respond(StatusCode::OK, content_type, telemetry::render()))
 }
--- a/crates/walnutmoor/src/worker/peer.rs
+++ b/crates/walnutmoor/src/worker/peer.rs
@@ -1,5 +1,5 @@
 /*!
-The way in for calls that peers pass on.
+The HTTP listener for calls that peers forward.
 */
 
 use std::net::SocketAddr;
@@ -12,8 +12,8 @@
 use walnutmoor_core::{call::Trailer, error::Kind};
 
 use super::{
-    driver::{Done, Input},
-    listen::{self, BodyError, Context, Rest},
+    driver::{Completion, Input},
+    listen::{self, BodyError, Context, Wildcard},
 };
 use crate::{
     prelude::*,
@@ -29,7 +29,7 @@
     context: Context,
     address: SocketAddr,
 ) -> Result<HttpServer<Context>, Failure> {
-    let body_max = context.body_max;
+    let max_body_bytes = context.max_body_bytes;
     let mut api = ApiDescription::new();
     let registered = api
         .register(hop_get)
@@ -38,10 +38,10 @@
         .and_then(|()| api.register(hop_patch))
         .and_then(|()| api.register(hop_delete));
     registered.map_err(|error| Failure::Internal(error.to_string()))?;
-    listen::start(api, context, address, body_max)
+    listen::start(api, context, address, max_body_bytes)
 }
 
-type Outcome = Result<Response<Body>, HttpError>;
+type HttpResult = Result<Response<Body>, HttpError>;
 
 macro_rules! hop_endpoint {
     ($name:ident, $method:ident) => {
@@ -52,9 +52,9 @@
                                                 }]
         async fn $name(
             context: RequestContext<Context>,
-            _rest: Path<Rest>,
+            _wildcard: Path<Wildcard>,
             request: RawRequest,
-        ) -> Outcome {
+        ) -> HttpResult {
             Ok(listen::response(hop(context.context(), request).await))
         }
     };
@@ -69,36 +69,40 @@
 async fn hop(context: &Context, request: RawRequest) -> Answer {
     let (parts, body) = request.into_inner().into_parts();
     let Some(envelope) = wire::envelope(&parts.headers) else {
-        return finish(refused(Kind::Malformed));
+        return into_answer(refused(Kind::Malformed));
     };
-    let body = match listen::read_body(body, context.body_max).await {
+    let body = match listen::read_body(body, context.max_body_bytes).await {
         Ok(body) => body,
-        Err(BodyError::TooLarge) => return finish(refused(Kind::TooLarge)),
-        Err(BodyError::Cut) => return finish(refused(Kind::Malformed)),
+        Err(BodyError::TooLarge) => {
+            return into_answer(refused(Kind::TooLarge));
+        }
+        Err(BodyError::Incomplete) => {
+            return into_answer(refused(Kind::Malformed));
+        }
     };
     let call = context.next_call();
-    let (_, path) = listen::below(&parts.uri, wire::HOP);
-    let load = listen::load(parts.method, path, &parts.headers, body);
+    let (_, path) = listen::split_path(&parts.uri, wire::HOP_PATH);
+    let payload = listen::payload(parts.method, path, &parts.headers, body);
     let envelope = Box::new(envelope);
-    let done = listen::submit(context, call, |reply| Input::Hop {
+    let completion = listen::submit(context, call, |reply| Input::Hop {
         call,
         envelope,
-        load,
+        payload,
         reply,
     });
-    finish(done.await)
+    into_answer(completion.await)
 }
 
-fn refused(kind: Kind) -> Done {
+fn refused(kind: Kind) -> Completion {
     let refusal = Refusal::new(kind, Ran::No);
-    Done { result: Err(refusal), trailer: None }
+    Completion { result: Err(refusal), trailer: None }
 }
 
-/// Adds the trailer. Its refusal tells the peer that a node answers, not a
-/// backend server.
-fn finish(done: Done) -> Answer {
-    let mut trailer = done.trailer.unwrap_or_default();
-    let mut answer = match done.result {
+/// Converts a completion to an answer with a trailer. The trailer contains the
+/// refusal, so that the peer can tell it from the answer of a backend server.
+fn into_answer(completion: Completion) -> Answer {
+    let mut trailer = completion.trailer.unwrap_or_default();
+    let mut answer = match completion.result {
         Ok(answer) => answer,
         Err(refusal) => {
             let answer = wire::refusal(&refusal, None);
@@ -106,7 +110,7 @@
             answer
         }
     };
-    let packed = wire::pack(&Trailer::encode(&trailer));
-    answer.headers.insert(wire::TRAILER, packed);
+    let encoded = wire::encode_header(&Trailer::encode(&trailer));
+    answer.headers.insert(wire::TRAILER, encoded);
     answer
 }
--- a/crates/walnutmoor/src/worker/platform.rs
+++ b/crates/walnutmoor/src/worker/platform.rs
@@ -1,6 +1,6 @@
 /*!
-Carries requests to the platform and replies back. Each request runs in its
-own task, so that a waiting watch holds up nothing.
+The worker that sends requests to the platform and returns its replies. Each
+request runs in a task of its own, so that a watch does not delay others.
 */
 
 use std::sync::Arc;
@@ -12,35 +12,36 @@
     platform::{Reply, Request},
 };
 
-use super::driver::{Input, Ring};
+use super::driver::{Input, InputSender};
 use crate::platform::Platform;
 
-/// Runs the duty until the decisions end.
+/// Runs the worker until the driver ends.
 pub async fn run(
     platform: Arc<Platform>,
-    ring: Ring,
+    inputs: InputSender,
     mut requests: mpsc::Receiver<(OpId, Request)>,
 ) {
     while let Some((op, request)) = requests.recv().await {
-        let (platform, ring) = (platform.clone(), ring.clone());
+        let (platform, inputs) = (platform.clone(), inputs.clone());
         tokio::spawn(async move {
             let reply = platform.call(request).await;
             if reply == Reply::Unavailable {
                 counter!("walnutmoor_platform_failures_total").increment(1);
             }
             let event = Box::new(Event::Platform { op, reply });
-            hand_back(&ring, event).await;
+            send_event(&inputs, event).await;
         });
     }
 }
 
-/// A reply must not be lost to a full ring, or its purpose stays open.
-async fn hand_back(ring: &Ring, event: Box<Event>) {
+/// Sends an event to the driver and waits while the channel is full, so that
+/// no reply is lost.
+async fn send_event(inputs: &InputSender, event: Box<Event>) {
     let mut input = Input::Event(event);
     loop {
-        match ring.try_send(input) {
-            Err(crossbeam_channel::TrySendError::Full(back)) => {
-                input = back;
+        match inputs.try_send(input) {
+            Err(crossbeam_channel::TrySendError::Full(returned)) => {
+                input = returned;
                 let pause = std::time::Duration::from_millis(1);
                 tokio::time::sleep(pause).await;
             }
