--- a/crates/walnutmoor/src/platform/memory.rs
+++ b/crates/walnutmoor/src/platform/memory.rs
@@ -90,13 +90,13 @@
         loop {
             let mut changed = std::pin::pin!(self.changed.notified());
             changed.as_mut().enable();
-            let now = self.get(key);
-            let version = match &now {
+            let current = self.get(key);
+            let version = match &current {
                 Reply::Found(object) => Some(object.version),
                 _ => None,
             };
             if version != known {
-                return now;
+                return current;
             }
             let wait = tokio::time::timeout_at(deadline, changed);
             if wait.await.is_err() {
--- a/crates/walnutmoor/src/worker/caller.rs
+++ b/crates/walnutmoor/src/worker/caller.rs
@@ -255,9 +255,7 @@
     let body = request.into_inner().into_body();
     let body = match listen::read_body(body, MAX_ANNOUNCEMENT_BYTES).await {
         Ok(body) => body,
-        Err(_) => {
-            return Ok(malformed("the announcement is too long"));
-        }
+        Err(_) => return Ok(malformed("the announcement is too long")),
     };
     match serde_json::from_slice::<Announcement>(&body) {
         Ok(announcement) => {
--- a/crates/walnutmoor/tests/adopt.rs
+++ b/crates/walnutmoor/tests/adopt.rs
@@ -1,4 +1,4 @@
-//! A process never goes back to an older desired state.
+//! A node never replaces its desired state by an older one.
 
 use std::rc::Rc;
 
@@ -24,8 +24,8 @@
     Stamp { era: Era(era), revision: Revision(revision) }
 }
 
-/// A desired state with one route for everything of a host.
-fn spec(version: u64, host: &str) -> Bytes {
+/// A desired state with one route, for all paths of a host.
+fn desired(version: u64, host: &str) -> Bytes {
     let route = Route {
         name: "r".into(),
         host: host.into(),
@@ -41,80 +41,80 @@
     standin::desired(version, &[route], &[], &Limits::default()).into()
 }
 
-fn has(state: &State, host: &str) -> bool {
+fn has_route(state: &State, host: &str) -> bool {
     state.table().unwrap().find(host, "/x").is_some()
 }
 
 #[test]
-fn an_older_version_changes_nothing_whatever_its_revision() {
+fn an_older_version_is_ignored_whatever_its_revision() {
     let state = state();
-    state.adopt(stamp(1, 5), spec(7, "new.example"), Source::Store);
+    state.adopt(stamp(1, 5), desired(7, "new.example"), Source::Store);
 
     for (at, version) in [(stamp(1, 3), 6), (stamp(1, 9), 6), (stamp(2, 9), 6)]
     {
-        state.adopt(at, spec(version, "old.example"), Source::Peer);
+        state.adopt(at, desired(version, "old.example"), Source::Peer);
 
         assert_eq!(state.edition().version, Version(7));
-        assert!(has(&state, "new.example"));
-        assert!(!has(&state, "old.example"));
+        assert!(has_route(&state, "new.example"));
+        assert!(!has_route(&state, "old.example"));
     }
 }
 
 #[test]
-fn an_older_or_equal_revision_of_the_same_version_changes_nothing() {
+fn an_older_or_equal_revision_of_the_same_version_is_ignored() {
     let state = state();
-    state.adopt(stamp(1, 5), spec(7, "new.example"), Source::Store);
+    state.adopt(stamp(1, 5), desired(7, "new.example"), Source::Store);
 
     for revision in [3, 5] {
-        let spec = spec(7, "old.example");
-        state.adopt(stamp(1, revision), spec, Source::Peer);
+        let desired = desired(7, "old.example");
+        state.adopt(stamp(1, revision), desired, Source::Peer);
 
         assert_eq!(state.edition().stamp, stamp(1, 5));
-        assert!(has(&state, "new.example"));
+        assert!(has_route(&state, "new.example"));
     }
 }
 
 #[test]
-fn a_newer_version_is_in_force_at_a_revision_that_was_given_out_before() {
+fn a_newer_version_is_adopted_at_an_older_revision() {
     let state = state();
-    state.adopt(stamp(1, 5), spec(7, "old.example"), Source::Store);
+    state.adopt(stamp(1, 5), desired(7, "old.example"), Source::Store);
 
-    state.adopt(stamp(2, 4), spec(9, "new.example"), Source::Store);
+    state.adopt(stamp(2, 4), desired(9, "new.example"), Source::Store);
 
-    assert!(has(&state, "new.example"));
-    assert!(!has(&state, "old.example"));
+    assert!(has_route(&state, "new.example"));
+    assert!(!has_route(&state, "old.example"));
 }
 
 #[test]
-fn the_same_version_written_again_in_a_later_era_goes_on() {
+fn the_same_version_in_a_later_era_keeps_the_table() {
     let state = state();
-    state.adopt(stamp(1, 5), spec(7, "same.example"), Source::Store);
+    state.adopt(stamp(1, 5), desired(7, "same.example"), Source::Store);
     let before = state.table().unwrap();
 
-    state.adopt(stamp(2, 4), spec(7, "same.example"), Source::Store);
+    state.adopt(stamp(2, 4), desired(7, "same.example"), Source::Store);
 
     assert_eq!(state.edition().stamp, stamp(2, 4));
     assert!(Rc::ptr_eq(&before, &state.table().unwrap()));
 }
 
 #[test]
-fn a_newer_version_that_can_not_be_read_changes_nothing() {
+fn a_malformed_newer_version_is_ignored() {
     let state = state();
-    state.adopt(stamp(1, 5), spec(7, "new.example"), Source::Store);
+    state.adopt(stamp(1, 5), desired(7, "new.example"), Source::Store);
 
     for text in ["{", "{\"version\":9,\"resources\":[{}]}"] {
         let raw = Bytes::from_static(text.as_bytes());
         state.adopt(stamp(1, 6), raw, Source::Store);
 
         assert_eq!(state.edition().version, Version(7));
-        assert!(has(&state, "new.example"));
+        assert!(has_route(&state, "new.example"));
     }
 }
 
 #[test]
-fn a_peer_is_asked_only_once_it_is_ahead() {
+fn a_node_is_behind_only_newer_editions() {
     let state = state();
-    state.adopt(stamp(1, 5), spec(7, "new.example"), Source::Store);
+    state.adopt(stamp(1, 5), desired(7, "new.example"), Source::Store);
     let own = state.edition();
 
     assert!(!state.is_behind(own));
--- a/crates/walnutmoor/tests/process/calls.rs
+++ b/crates/walnutmoor/tests/process/calls.rs
@@ -1,4 +1,4 @@
-//! Whole requests from end to end, and bad input.
+//! Requests from end to end, and malformed input.
 
 use std::time::Duration;
 
@@ -14,22 +14,21 @@
 #[test]
 fn a_request_crosses_three_services() {
     run(async {
-        // Arrange
-        let top = Plan { calls: vec!["middle"], ..plan("top", "a") };
-        let middle = Plan { calls: vec!["deep"], ..plan("middle", "b") };
-        let world = World::start(&[top, middle, plan("deep", "a")]).await;
+        let top = Plan { nested_calls: vec!["middle"], ..plan("top", "a") };
+        let middle =
+            Plan { nested_calls: vec!["deep"], ..plan("middle", "b") };
+        let cluster = Cluster::start(&[top, middle, plan("deep", "a")]).await;
 
-        // Act: any node takes any request.
-        let mut came = Vec::new();
+        // Every node accepts calls to every service.
+        let mut bodies = Vec::new();
         for index in 0..3 {
             let request = format!("r{index}");
             let attempt = browse("top", &request);
-            came.push(text(&world.send(index, attempt).await));
+            bodies.push(body_text(&cluster.send(index, attempt).await));
         }
 
-        // Assert
-        for (index, text) in came.iter().enumerate() {
-            assert_eq!(*text, format!("r{index}:top(middle(deep()))"));
+        for (index, body) in bodies.iter().enumerate() {
+            assert_eq!(*body, format!("r{index}:top(middle(deep()))"));
         }
     });
 }
@@ -37,30 +36,34 @@
 #[test]
 fn many_callers_each_get_their_own_answer() {
     run(async {
-        let top = Plan { calls: vec!["deep"], ..plan("top", "a") };
-        let deep =
-            Plan { time: Duration::from_millis(30), ..plan("deep", "b") };
-        let world = World::start(&[top, deep]).await;
+        let top = Plan { nested_calls: vec!["deep"], ..plan("top", "a") };
+        let deep = Plan {
+            service_time: Duration::from_millis(30),
+            ..plan("deep", "b")
+        };
+        let cluster = Cluster::start(&[top, deep]).await;
 
         let calls = (0..60).map(|n| {
             let request = format!("many{n}");
-            let world = &world;
+            let cluster = &cluster;
             async move {
                 let attempt = browse("top", &request);
-                let came = world.send(n % 2, attempt).await;
-                (request, came)
+                let response = cluster.send(n % 2, attempt).await;
+                (request, response)
             }
         });
-        let came = join_all(calls).await;
+        let responses = join_all(calls).await;
 
-        let mut whole = 0;
-        for (request, came) in &came {
-            if came.is_good() {
-                whole += 1;
-                assert!(text(came).starts_with(&format!("{request}:")));
+        let mut answered = 0;
+        for (request, response) in &responses {
+            if response.is_good() {
+                answered += 1;
+                assert!(
+                    body_text(response).starts_with(&format!("{request}:"))
+                );
             }
         }
-        assert!(whole > 0);
+        assert!(answered > 0);
     });
 }
 
@@ -71,17 +74,17 @@
     let mut done: Vec<Option<F::Output>> = Vec::new();
     done.resize_with(calls.len(), || None);
     std::future::poll_fn(|context| {
-        let mut open = false;
+        let mut pending = false;
         for (call, slot) in calls.iter_mut().zip(&mut done) {
             if slot.is_some() {
                 continue;
             }
             match call.as_mut().poll(context) {
                 std::task::Poll::Ready(output) => *slot = Some(output),
-                std::task::Poll::Pending => open = true,
+                std::task::Poll::Pending => pending = true,
             }
         }
-        match open {
+        match pending {
             true => std::task::Poll::Pending,
             false => std::task::Poll::Ready(()),
         }
@@ -91,17 +94,18 @@
 }
 
 #[test]
-fn bad_input_gets_a_clear_error_and_loses_nothing() {
+fn malformed_input_is_refused_and_does_not_run() {
     run(async {
-        let world = World::start(&[plan("top", "a")]).await;
+        let cluster = Cluster::start(&[plan("top", "a")]).await;
         let call = || Attempt::get("/v1/call/top/it");
-        let ticket = world.ticket(0).await;
-        let with = |part: usize, text: &'static str| {
+        let ticket = cluster.ticket(0).await;
+        let ticket_with = |part: usize, value: &'static str| {
             let mut parts: Vec<&str> = ticket.split('~').collect();
-            parts[part] = text;
+            parts[part] = value;
             parts.join("~")
         };
-        let (foreign, made_up) = (with(1, "1"), with(2, "7000000001"));
+        let (foreign, forged) =
+            (ticket_with(1, "1"), ticket_with(2, "7000000001"));
         let cases = [
             (call().header(wire::CLASS, "nobody"), "unknown_class", "no"),
             (Attempt::get("/v1/call/nowhere/it"), "unknown_service", "no"),
@@ -113,29 +117,29 @@
             (call().header(wire::PARENT, "1.1"), "malformed", "no"),
             (call().header(wire::TICKET, "mine"), "malformed", "no"),
             (call().header(wire::CLASS, "order"), "ticket_required", "no"),
-            (order("top", "x", &made_up), "ticket_forged", "no"),
+            (order("top", "x", &forged), "ticket_forged", "no"),
             (order("top", "x", &foreign), "owner_silent", "no"),
             (call().body(vec![0; 65 << 10]), "too_large", "no"),
         ];
 
         for (attempt, kind, ran) in cases {
-            let shown = format!("{:?}", attempt.headers);
-            let came = world.send(0, attempt).await;
-            let want = (kind.to_string(), ran.to_string());
-            assert_eq!(refusal(&came), want, "{shown}");
+            let headers = format!("{:?}", attempt.headers);
+            let response = cluster.send(0, attempt).await;
+            let expected = (kind.to_string(), ran.to_string());
+            assert_eq!(refusal(&response), expected, "{headers}");
         }
 
-        assert_eq!(world.oracle.runs(), 0);
-        let came = world.send(0, browse("top", "after")).await;
-        assert_eq!(text(&came), "after:top()");
+        assert_eq!(cluster.oracle.runs(), 0);
+        let response = cluster.send(0, browse("top", "after")).await;
+        assert_eq!(body_text(&response), "after:top()");
     });
 }
 
 #[test]
-fn a_truncated_request_leaves_nothing_behind() {
+fn a_truncated_request_does_not_run() {
     run(async {
-        let world = World::start(&[plan("top", "a")]).await;
-        let address = world.pairs[0].node.caller();
+        let cluster = Cluster::start(&[plan("top", "a")]).await;
+        let address = cluster.pairs[0].node.caller();
 
         let mut stream = TcpStream::connect(address).await.unwrap();
         let head = "POST /v1/call/top/it HTTP/1.1\r\nhost: x\r\n\
@@ -145,50 +149,52 @@
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest).await;
 
-        assert_eq!(world.oracle.runs(), 0);
-        let came = world.send(0, browse("top", "after")).await;
-        assert_eq!(text(&came), "after:top()");
+        assert_eq!(cluster.oracle.runs(), 0);
+        let response = cluster.send(0, browse("top", "after")).await;
+        assert_eq!(body_text(&response), "after:top()");
     });
 }
 
 #[test]
-fn half_an_answer_is_an_error() {
+fn an_incomplete_answer_is_an_error() {
     run(async {
-        let world = World::start(&[plan("top", "a")]).await;
-        world.pairs[0].backend.break_answers(true);
-
-        let ticket = world.ticket(0).await;
-        let came = world.send(0, order("top", "cut", &ticket)).await;
-
-        // It may have run, so it is never run again.
-        let told = ("broken".to_string(), "unknown".to_string());
-        assert_eq!(refusal(&came), told);
-        world.pairs[0].backend.break_answers(false);
-        let again = world.send(0, order("top", "cut", &ticket)).await;
-        assert_eq!(refusal(&again), told);
-        assert_eq!(world.oracle.runs_of("top", "cut"), 1);
+        let cluster = Cluster::start(&[plan("top", "a")]).await;
+        cluster.pairs[0].backend.break_answers(true);
+
+        let ticket = cluster.ticket(0).await;
+        let response = cluster.send(0, order("top", "cut", &ticket)).await;
+
+        // It may have run, so it must not be retried.
+        let expected = ("broken".to_string(), "unknown".to_string());
+        assert_eq!(refusal(&response), expected);
+        cluster.pairs[0].backend.break_answers(false);
+        let second = cluster.send(0, order("top", "cut", &ticket)).await;
+        assert_eq!(refusal(&second), expected);
+        assert_eq!(cluster.oracle.runs_of("top", "cut"), 1);
     });
 }
 
 #[test]
-fn a_caller_that_leaves_frees_its_places() {
+fn a_disconnected_caller_frees_its_slots() {
     run(async {
-        let top = Plan { calls: vec!["deep"], ..plan("top", "a") };
-        let deep =
-            Plan { time: Duration::from_secs(600), ..plan("deep", "b") };
-        let world = World::start(&[top, deep]).await;
-        let address = world.pairs[0].node.caller();
+        let top = Plan { nested_calls: vec!["deep"], ..plan("top", "a") };
+        let deep = Plan {
+            service_time: Duration::from_secs(600),
+            ..plan("deep", "b")
+        };
+        let cluster = Cluster::start(&[top, deep]).await;
+        let address = cluster.pairs[0].node.caller();
 
         let mut stream = TcpStream::connect(address).await.unwrap();
         let head = "GET /v1/call/top/it HTTP/1.1\r\nhost: x\r\n\
                     walnutmoor-class: browse\r\n\r\n";
         stream.write_all(head.as_bytes()).await.unwrap();
-        let deep = &world.pairs[1].backend;
-        until("the deep call runs", || async { deep.running() == 1 }).await;
+        let deep = &cluster.pairs[1].backend;
+        until("the nested call runs", || async { deep.running() == 1 }).await;
         drop(stream);
 
-        until("all places are free", || async {
-            deep.running() == 0 && world.pairs[0].backend.running() == 0
+        until("all slots are free", || async {
+            deep.running() == 0 && cluster.pairs[0].backend.running() == 0
         })
         .await;
     });
@@ -197,22 +203,24 @@
 #[test]
 fn a_ticket_runs_once_and_its_answer_is_replayed() {
     run(async {
-        let world = World::start(&[plan("top", "a"), plan("top", "b")]).await;
-        let ticket = world.ticket(0).await;
+        let cluster =
+            Cluster::start(&[plan("top", "a"), plan("top", "b")]).await;
+        let ticket = cluster.ticket(0).await;
 
-        let first = world.send(0, order("top", "one", &ticket)).await;
-        let second = world.send(1, order("top", "one", &ticket)).await;
-        let other =
-            world.send(0, order("top", "one", &ticket).body("another")).await;
+        let first = cluster.send(0, order("top", "one", &ticket)).await;
+        let second = cluster.send(1, order("top", "one", &ticket)).await;
+        let other = cluster
+            .send(0, order("top", "one", &ticket).body("another"))
+            .await;
 
         assert!(first.is_good(), "{first:?}");
-        assert_eq!(text(&first), text(&second));
-        let told = ("ticket_reused".to_string(), "no".to_string());
-        assert_eq!(refusal(&other), told);
-        assert_eq!(world.oracle.runs_of("top", "one"), 1);
-        let node = world.pairs[1].node.caller();
+        assert_eq!(body_text(&first), body_text(&second));
+        let expected = ("ticket_reused".to_string(), "no".to_string());
+        assert_eq!(refusal(&other), expected);
+        assert_eq!(cluster.oracle.runs_of("top", "one"), 1);
+        let node = cluster.pairs[1].node.caller();
         let path = format!("/v1/tickets/{ticket}");
-        let outcome = world.get_json(node, &path).await;
+        let outcome = cluster.get_json(node, &path).await;
         assert_eq!(outcome["ran"], "yes");
     });
 }
@@ -220,29 +228,31 @@
 #[test]
 fn a_server_announces_itself_and_leaves() {
     run(async {
-        let world = World::start(&[plan("top", "a"), plan("late", "b")]).await;
+        let cluster =
+            Cluster::start(&[plan("top", "a"), plan("late", "b")]).await;
 
-        // It leaves by its own word: the node stays, the service goes.
-        let node = world.pairs[1].node.caller();
+        // The node stays, but its backend server withdraws the service.
+        let node = cluster.pairs[1].node.caller();
         let leave = Attempt {
             method: http::Method::DELETE,
             ..Attempt::get("/v1/server")
         };
-        world.client.send(node, leave).await;
-        until("the service is gone", || async {
-            let came = world.send(0, browse("late", "x")).await;
-            matches!(came, Came::Refused(told) if told.ran == "no")
+        cluster.client.send(node, leave).await;
+        until("the service is unavailable", || async {
+            let response = cluster.send(0, browse("late", "x")).await;
+            matches!(response, Came::Refused(refused) if refused.ran == "no")
         })
         .await;
 
-        let what = "{\"service\":\"late\",\"slots\":8,\"connections\":64}";
+        let announcement =
+            "{\"service\":\"late\",\"slots\":8,\"connections\":64}";
         let announce = Attempt {
             method: http::Method::PUT,
-            ..Attempt::get("/v1/server").body(what)
+            ..Attempt::get("/v1/server").body(announcement)
         };
-        until("the service is back", || async {
-            world.client.send(node, announce.clone()).await;
-            world.send(0, browse("late", "y")).await.is_good()
+        until("the service is available again", || async {
+            cluster.client.send(node, announce.clone()).await;
+            cluster.send(0, browse("late", "y")).await.is_good()
         })
         .await;
     });
--- a/crates/walnutmoor/tests/process/changes.rs
+++ b/crates/walnutmoor/tests/process/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of configuration under outages and races.
+//! Configuration changes during outages and races.
 
 use http::Method;
 use walnutmoor_core::platform::Key;
@@ -9,14 +9,15 @@
 
 use super::fixture::*;
 
-async fn three() -> World {
-    World::start(&[plan("top", "a"), plan("top", "b"), plan("top", "a")]).await
+async fn three_nodes() -> Cluster {
+    Cluster::start(&[plan("top", "a"), plan("top", "b"), plan("top", "a")])
+        .await
 }
 
-fn change(within: u64) -> Attempt {
+fn put_class(within_ms: u64) -> Attempt {
     let body = format!(
         "{{\"kind\":\"browse\",\"target\":{{\"share\":\"90%\",\
-         \"within\":\"{within}ms\"}}}}"
+         \"within\":\"{within_ms}ms\"}}}}"
     );
     Attempt {
         method: Method::PUT,
@@ -24,15 +25,19 @@
     }
 }
 
-async fn operate(world: &World, index: usize, attempt: Attempt) -> Came {
-    let node = world.pairs[index].node.operator();
-    world.client.send(node, attempt).await
+async fn send_to_operator(
+    cluster: &Cluster,
+    index: usize,
+    attempt: Attempt,
+) -> Came {
+    let node = cluster.pairs[index].node.operator();
+    cluster.client.send(node, attempt).await
 }
 
-async fn everywhere(world: &World, revision: u64) {
-    for index in 0..world.pairs.len() {
+async fn wait_for_revision(cluster: &Cluster, revision: u64) {
+    for index in 0..cluster.pairs.len() {
         until("in force everywhere", || async {
-            world.revision(index).await >= revision
+            cluster.revision(index).await >= revision
         })
         .await;
     }
@@ -41,14 +46,14 @@
 #[test]
 fn an_accepted_change_comes_into_force_everywhere() {
     run(async {
-        let world = three().await;
+        let cluster = three_nodes().await;
 
-        let came = operate(&world, 1, change(1_000)).await;
+        let response = send_to_operator(&cluster, 1, put_class(1_000)).await;
 
-        assert!(came.is_good(), "{came:?}");
-        everywhere(&world, 3).await;
-        let node = world.pairs[2].node.operator();
-        let audit = world.get_json(node, "/v1/audit").await;
+        assert!(response.is_good(), "{response:?}");
+        wait_for_revision(&cluster, 3).await;
+        let node = cluster.pairs[2].node.operator();
+        let audit = cluster.get_json(node, "/v1/audit").await;
         let entries = audit.as_array().unwrap();
         assert_eq!(entries.len(), 3);
         assert_eq!(entries[2]["revision"], 3);
@@ -56,100 +61,104 @@
 }
 
 #[test]
-fn of_operators_who_race_on_one_base_one_wins() {
+fn only_one_of_concurrent_changes_with_one_base_succeeds() {
     run(async {
-        let world = three().await;
-        let based = |n| change(n).header("if-match", "\"2\"");
+        let cluster = three_nodes().await;
+        let with_base = |n| put_class(n).header("if-match", "\"2\"");
 
         let (a, b, c) = tokio::join!(
-            operate(&world, 0, based(1)),
-            operate(&world, 1, based(2)),
-            operate(&world, 2, based(3)),
+            send_to_operator(&cluster, 0, with_base(1)),
+            send_to_operator(&cluster, 1, with_base(2)),
+            send_to_operator(&cluster, 2, with_base(3)),
         );
 
-        let came = [a, b, c];
-        let won = came.iter().filter(|c| c.is_good()).count();
-        assert_eq!(won, 1, "{came:?}");
-        for lost in came.iter().filter(|c| !c.is_good()) {
-            let told = ("conflict".to_string(), "no".to_string());
-            assert_eq!(refusal(lost), told);
+        let responses = [a, b, c];
+        let succeeded = responses.iter().filter(|c| c.is_good()).count();
+        assert_eq!(succeeded, 1, "{responses:?}");
+        for conflict in responses.iter().filter(|c| !c.is_good()) {
+            let expected = ("conflict".to_string(), "no".to_string());
+            assert_eq!(refusal(conflict), expected);
         }
-        everywhere(&world, 3).await;
+        wait_for_revision(&cluster, 3).await;
     });
 }
 
 #[test]
-fn an_answer_lost_after_effect_is_settled_by_reading_back() {
+fn a_lost_answer_to_a_write_is_resolved_by_reading() {
     run(async {
-        let world = three().await;
-        world.platform.set(Fault::LoseAnswers);
+        let cluster = three_nodes().await;
+        cluster.platform.set(Fault::LoseAnswers);
 
-        let came = operate(&world, 0, change(1_000)).await;
+        let response = send_to_operator(&cluster, 0, put_class(1_000)).await;
 
-        // The write took effect once, and the operator is told so.
-        assert!(came.is_good(), "{came:?}");
-        let stored = world.platform.read(&Key::config()).unwrap();
+        // The write took effect once, and the operator gets a success.
+        assert!(response.is_good(), "{response:?}");
+        let stored = cluster.platform.read(&Key::config()).unwrap();
         assert!(stored.value.contains("\"changed\""));
         assert!(stored.value.starts_with("{\"revision\":3"));
-        everywhere(&world, 3).await;
+        wait_for_revision(&cluster, 3).await;
     });
 }
 
 #[test]
-fn an_outage_refuses_changes_and_stops_no_call() {
+fn during_an_outage_changes_fail_and_calls_succeed() {
     run(async {
-        let world = three().await;
-        world.platform.set(Fault::Down);
+        let cluster = three_nodes().await;
+        cluster.platform.set(Fault::Down);
 
-        let came = operate(&world, 0, change(1_000)).await;
-        let call = world.send(1, browse("top", "outage")).await;
-        world.platform.set(Fault::None);
+        let response = send_to_operator(&cluster, 0, put_class(1_000)).await;
+        let call = cluster.send(1, browse("top", "outage")).await;
+        cluster.platform.set(Fault::None);
 
-        assert_eq!(refusal(&came).0, "platform_down");
+        assert_eq!(refusal(&response).0, "platform_down");
         assert!(call.is_good(), "{call:?}");
         until("changes are accepted again", || async {
-            operate(&world, 0, change(2_000)).await.is_good()
+            send_to_operator(&cluster, 0, put_class(2_000)).await.is_good()
         })
         .await;
     });
 }
 
 #[test]
-fn a_store_that_comes_back_older_is_not_believed() {
+fn an_older_configuration_in_the_store_is_not_adopted() {
     run(async {
-        let world = three().await;
-        let old = world.platform.read(&Key::config()).unwrap();
-        assert!(operate(&world, 0, change(1_000)).await.is_good());
-        everywhere(&world, 3).await;
+        let cluster = three_nodes().await;
+        let old = cluster.platform.read(&Key::config()).unwrap();
+        assert!(
+            send_to_operator(&cluster, 0, put_class(1_000)).await.is_good()
+        );
+        wait_for_revision(&cluster, 3).await;
 
-        world.platform.restore(Key::config(), old);
+        cluster.platform.restore(Key::config(), old);
 
-        // The newer configuration is written back, and no node reverts.
-        until("the store is mended", || async {
-            let stored = world.platform.read(&Key::config()).unwrap();
+        // The nodes write the newer configuration back and do not revert.
+        until("the store has the newer configuration", || async {
+            let stored = cluster.platform.read(&Key::config()).unwrap();
             stored.value.starts_with("{\"revision\":3")
         })
         .await;
         for index in 0..3 {
-            assert_eq!(world.revision(index).await, 3);
+            assert_eq!(cluster.revision(index).await, 3);
         }
     });
 }
 
 #[test]
-fn a_fresh_node_in_an_outage_learns_from_peers_of_two_zones() {
+fn a_restarted_node_gets_the_configuration_from_peers_in_an_outage() {
     run(async {
-        let mut world = three().await;
-        assert!(operate(&world, 0, change(1_000)).await.is_good());
-        everywhere(&world, 3).await;
-        world.platform.set(Fault::Down);
+        let mut cluster = three_nodes().await;
+        assert!(
+            send_to_operator(&cluster, 0, put_class(1_000)).await.is_good()
+        );
+        wait_for_revision(&cluster, 3).await;
+        cluster.platform.set(Fault::Down);
 
-        world.pairs[2].node.restart();
+        cluster.pairs[2].node.restart();
 
-        // It cannot read its contacts either; its peers find it.
-        until("it serves the newest", || async {
-            world.revision(2).await == 3
-                && world.status(2).await["status"]["stage"] == "serving"
+        // It cannot read its contacts from the platform; its peers contact it.
+        until("it serves the newest configuration", || async {
+            cluster.revision(2).await == 3
+                && cluster.status(2).await["status"]["stage"] == "serving"
         })
         .await;
     });
--- a/crates/walnutmoor/tests/process/faults.rs
+++ b/crates/walnutmoor/tests/process/faults.rs
@@ -1,4 +1,4 @@
-//! Kills, freezes and drains.
+//! Killed, frozen and draining nodes.
 
 use std::time::Duration;
 
@@ -7,177 +7,183 @@
 use super::fixture::*;
 
 /// Three nodes of one service in two zones.
-async fn three() -> World {
-    World::start(&[plan("top", "a"), plan("top", "b"), plan("top", "a")]).await
+async fn three_nodes() -> Cluster {
+    Cluster::start(&[plan("top", "a"), plan("top", "b"), plan("top", "a")])
+        .await
 }
 
 #[test]
-fn a_killed_node_is_dropped_and_returns_as_another_life() {
+fn a_killed_node_is_removed_and_rejoins_after_a_restart() {
     run(async {
-        let mut world = three().await;
+        let mut cluster = three_nodes().await;
 
-        world.pairs[2].node.kill();
-        until("the others drop it", || async {
-            let one = world.status(0).await;
-            let two = world.status(1).await;
+        cluster.pairs[2].node.kill();
+        until("the others remove it", || async {
+            let one = cluster.status(0).await;
+            let two = cluster.status(1).await;
             one["status"]["members"] == 2 && two["status"]["members"] == 2
         })
         .await;
         for n in 0..20 {
-            let came = world.send(n % 2, browse("top", "gone")).await;
-            assert!(came.is_good(), "{came:?}");
+            let response = cluster.send(n % 2, browse("top", "gone")).await;
+            assert!(response.is_good(), "{response:?}");
         }
 
-        world.pairs[2].node.restart();
-        world.whole().await;
+        cluster.pairs[2].node.restart();
+        cluster.wait_until_serving().await;
     });
 }
 
 #[test]
-fn a_frozen_owner_never_runs_what_was_told_not_run() {
+fn a_frozen_owner_does_not_run_a_call_reported_as_not_run() {
     run(async {
-        let world = three().await;
-        let ticket = world.ticket(0).await;
+        let cluster = three_nodes().await;
+        let ticket = cluster.ticket(0).await;
 
-        world.pairs[0].node.signal("STOP");
-        until("the others drop it", || async {
-            world.status(1).await["status"]["members"] == 2
+        cluster.pairs[0].node.signal("STOP");
+        until("the others remove it", || async {
+            cluster.status(1).await["status"]["members"] == 2
         })
         .await;
-        let came = world.send(1, order("top", "frozen", &ticket)).await;
-        world.pairs[0].node.signal("CONT");
+        let response = cluster.send(1, order("top", "frozen", &ticket)).await;
+        cluster.pairs[0].node.signal("CONT");
 
-        let (kind, ran) = refusal(&came);
+        let (kind, ran) = refusal(&response);
         assert_eq!((kind.as_str(), ran.as_str()), ("owner_silent", "no"));
-        world.whole().await;
-        // The owner itself still knows the ticket, asks for its mark, and
-        // is refused it.
-        let again = world.send(0, order("top", "frozen", &ticket)).await;
-        assert_eq!(refusal(&again).1, "no");
-        assert_eq!(world.oracle.runs_of("top", "frozen"), 0);
+        cluster.wait_until_serving().await;
+        // The owner still has the ticket, but the witness refuses the mark.
+        let second = cluster.send(0, order("top", "frozen", &ticket)).await;
+        assert_eq!(refusal(&second).1, "no");
+        assert_eq!(cluster.oracle.runs_of("top", "frozen"), 0);
     });
 }
 
 #[test]
-fn a_killed_owner_leaves_an_honest_unknown() {
+fn the_outcome_after_the_owner_is_killed_is_unknown() {
     run(async {
-        let slow = Plan { time: Duration::from_secs(600), ..plan("top", "b") };
-        let mut world =
-            World::start(&[plan("gate", "a"), slow, plan("gate", "a")]).await;
-        let ticket = world.ticket(0).await;
-        let owner = world.pairs[0].node.caller();
+        let slow = Plan {
+            service_time: Duration::from_secs(600),
+            ..plan("top", "b")
+        };
+        let mut cluster =
+            Cluster::start(&[plan("gate", "a"), slow, plan("gate", "a")])
+                .await;
+        let ticket = cluster.ticket(0).await;
+        let owner = cluster.pairs[0].node.caller();
         let (client, attempt) =
-            (world.client.clone(), order("top", "lost", &ticket));
+            (cluster.client.clone(), order("top", "lost", &ticket));
         let first =
             tokio::spawn(async move { client.send(owner, attempt).await });
-        let backend = world.pairs[1].backend.clone();
-        until("it runs", || async { backend.running() == 1 }).await;
+        let backend = cluster.pairs[1].backend.clone();
+        until("the call runs", || async { backend.running() == 1 }).await;
 
-        world.pairs[0].node.kill();
-        let came = first.await.unwrap();
-        until("the others drop it", || async {
-            world.status(1).await["status"]["members"] == 2
+        cluster.pairs[0].node.kill();
+        let response = first.await.unwrap();
+        until("the others remove it", || async {
+            cluster.status(1).await["status"]["members"] == 2
         })
         .await;
-        let asked = world.send(2, order("top", "lost", &ticket)).await;
+        let second = cluster.send(2, order("top", "lost", &ticket)).await;
 
-        assert!(matches!(came, Came::Nothing), "{came:?}");
-        assert_eq!(refusal(&asked).1, "unknown");
-        assert_eq!(world.oracle.runs_of("top", "lost"), 1);
+        assert!(matches!(response, Came::Nothing), "{response:?}");
+        assert_eq!(refusal(&second).1, "unknown");
+        assert_eq!(cluster.oracle.runs_of("top", "lost"), 1);
     });
 }
 
 #[test]
-fn a_restarted_owner_does_not_run_tickets_of_its_former_life() {
+fn a_restarted_owner_does_not_run_tickets_of_an_earlier_incarnation() {
     run(async {
-        let mut world = three().await;
-        let ticket = world.ticket(0).await;
+        let mut cluster = three_nodes().await;
+        let ticket = cluster.ticket(0).await;
 
-        world.pairs[0].node.restart();
-        world.whole().await;
-        let came = world.send(0, order("top", "former", &ticket)).await;
+        cluster.pairs[0].node.restart();
+        cluster.wait_until_serving().await;
+        let response = cluster.send(0, order("top", "former", &ticket)).await;
 
-        assert_eq!(refusal(&came).1, "no");
-        assert_eq!(world.oracle.runs_of("top", "former"), 0);
+        assert_eq!(refusal(&response).1, "no");
+        assert_eq!(cluster.oracle.runs_of("top", "former"), 0);
     });
 }
 
 #[test]
-fn a_restarted_witness_cannot_tell() {
+fn a_restarted_witness_does_not_grant_a_mark() {
     run(async {
-        let mut world = three().await;
-        let ticket = world.ticket(0).await;
-        let witness = world.witness_of(&ticket);
+        let mut cluster = three_nodes().await;
+        let ticket = cluster.ticket(0).await;
+        let witness = cluster.witness_of(&ticket);
         assert_ne!(witness, 0);
 
-        world.pairs[witness].node.restart();
-        world.whole().await;
-        let came = world.send(0, order("top", "stranger", &ticket)).await;
+        cluster.pairs[witness].node.restart();
+        cluster.wait_until_serving().await;
+        let response =
+            cluster.send(0, order("top", "stranger", &ticket)).await;
 
-        // Without a mark the owner does not run it, and says so.
-        let (kind, ran) = refusal(&came);
+        // Without a mark, the owner refuses the call and does not run it.
+        let (kind, ran) = refusal(&response);
         assert_eq!((kind.as_str(), ran.as_str()), ("witness_silent", "no"));
-        assert_eq!(world.oracle.runs_of("top", "stranger"), 0);
+        assert_eq!(cluster.oracle.runs_of("top", "stranger"), 0);
     });
 }
 
 #[test]
-fn a_drain_cuts_nothing_and_takes_nothing_new() {
+fn a_drain_finishes_calls_in_flight_and_refuses_new_ones() {
     run(async {
-        let slow = Plan { time: Duration::from_secs(2), ..plan("top", "b") };
-        let mut world = World::start(&[plan("gate", "a"), slow]).await;
-        let backend = world.pairs[1].backend.clone();
-        let gate = world.pairs[0].node.caller();
-        let flights = ["flight1", "flight2"].map(|request| {
+        let slow =
+            Plan { service_time: Duration::from_secs(2), ..plan("top", "b") };
+        let mut cluster = Cluster::start(&[plan("gate", "a"), slow]).await;
+        let backend = cluster.pairs[1].backend.clone();
+        let gate = cluster.pairs[0].node.caller();
+        let in_flight = ["flight1", "flight2"].map(|request| {
             let attempt = browse("top", request);
-            let client = world.client.clone();
+            let client = cluster.client.clone();
             tokio::spawn(async move { client.send(gate, attempt).await })
         });
-        until("both run", || async { backend.running() == 2 }).await;
+        until("both calls run", || async { backend.running() == 2 }).await;
 
-        world.pairs[1].node.signal("TERM");
-        until("the gate knows", || async {
-            let came = world.send(0, browse("top", "probe")).await;
-            !came.is_good()
+        cluster.pairs[1].node.signal("TERM");
+        until("the other node stops sending calls", || async {
+            let response = cluster.send(0, browse("top", "probe")).await;
+            !response.is_good()
         })
         .await;
-        let last = backend.last_start();
-        let later = world.send(0, browse("top", "later")).await;
+        let last_start = backend.last_start();
+        let later = cluster.send(0, browse("top", "later")).await;
         until("the node has left", || {
-            let ended = world.pairs[1].node.has_ended();
+            let ended = cluster.pairs[1].node.has_ended();
             async move { ended }
         })
         .await;
 
-        for flight in flights {
-            let came = flight.await.unwrap();
-            assert!(came.is_good(), "{came:?}");
+        for call in in_flight {
+            let response = call.await.unwrap();
+            assert!(response.is_good(), "{response:?}");
         }
-        assert_eq!(world.pairs[1].node.exit_code(), Some(0));
+        assert_eq!(cluster.pairs[1].node.exit_code(), Some(0));
         assert_eq!(refusal(&later).1, "no");
-        assert_eq!(world.oracle.runs_of("top", "later"), 0);
-        assert_eq!(backend.last_start(), last);
+        assert_eq!(cluster.oracle.runs_of("top", "later"), 0);
+        assert_eq!(backend.last_start(), last_start);
     });
 }
 
 #[test]
-fn a_drain_needs_no_platform() {
+fn a_drain_does_not_need_the_platform() {
     run(async {
-        let mut world = three().await;
-        world.platform.set(walnutmoor_standin::platform::Fault::Down);
+        let mut cluster = three_nodes().await;
+        cluster.platform.set(walnutmoor_standin::platform::Fault::Down);
 
-        world.pairs[1].node.signal("TERM");
+        cluster.pairs[1].node.signal("TERM");
         until("the node has left", || {
-            let ended = world.pairs[1].node.has_ended();
+            let ended = cluster.pairs[1].node.has_ended();
             async move { ended }
         })
         .await;
 
-        until("the others know", || async {
-            world.status(0).await["status"]["members"] == 2
+        until("the others remove it", || async {
+            cluster.status(0).await["status"]["members"] == 2
         })
         .await;
-        let came = world.send(0, browse("top", "still")).await;
-        assert!(came.is_good(), "{came:?}");
+        let response = cluster.send(0, browse("top", "still")).await;
+        assert!(response.is_good(), "{response:?}");
     });
 }
--- a/crates/walnutmoor/tests/process/fixture.rs
+++ b/crates/walnutmoor/tests/process/fixture.rs
@@ -1,4 +1,4 @@
-//! Nodes, backend servers and a platform, built by functions.
+//! Clusters of nodes, backend servers and a platform.
 
 use std::{net::SocketAddr, path::Path, sync::Arc, time::Duration};
 
@@ -26,26 +26,26 @@
     pub node: child::Node,
 }
 
-/// Everything that runs in one test.
-pub struct World {
+/// The processes and servers of one test.
+pub struct Cluster {
     pub platform: Arc<Platform>,
     pub oracle: Arc<Oracle>,
     pub client: Client,
     pub pairs: Vec<Pair>,
 }
 
-/// What a pair is like.
+/// The configuration of a pair.
 #[derive(Clone)]
 pub struct Plan {
     pub service: &'static str,
     pub zone: &'static str,
-    pub time: Duration,
-    pub calls: Vec<&'static str>,
+    pub service_time: Duration,
+    pub nested_calls: Vec<&'static str>,
 }
 
 pub fn plan(service: &'static str, zone: &'static str) -> Plan {
-    let time = Duration::from_millis(5);
-    Plan { service, zone, time, calls: Vec::new() }
+    let service_time = Duration::from_millis(5);
+    Plan { service, zone, service_time, nested_calls: Vec::new() }
 }
 
 fn class(name: &str, kind: Kind) -> Class {
@@ -54,9 +54,9 @@
     Class { name: name.parse().unwrap(), kind, target }
 }
 
-/// The configuration that the platform holds from the start: an `order`
-/// class that runs once and a `browse` class.
-fn first_configuration() -> String {
+/// The initial configuration on the platform: an `order` class that runs at
+/// most once and a `browse` class.
+fn initial_configuration() -> String {
     let mut config = Config::default();
     for (name, kind) in [("order", Kind::Once), ("browse", Kind::Browse)] {
         let change = format!("first-{name}").parse().unwrap();
@@ -66,23 +66,23 @@
     serde_json::to_string(&config).unwrap()
 }
 
-impl World {
-    /// Starts pairs, and waits until all nodes know each other.
-    pub async fn start(plans: &[Plan]) -> World {
+impl Cluster {
+    /// Starts the pairs and waits until all nodes know each other.
+    pub async fn start(plans: &[Plan]) -> Cluster {
         let platform = Platform::start().await;
-        platform.write(Key::config(), first_configuration());
-        let mut world = World {
+        platform.write(Key::config(), initial_configuration());
+        let mut cluster = Cluster {
             platform,
             oracle: Arc::new(Oracle::new()),
             client: Client::new(),
             pairs: Vec::new(),
         };
         for plan in plans {
-            let pair = world.start_pair(plan).await;
-            world.pairs.push(pair);
+            let pair = cluster.start_pair(plan).await;
+            cluster.pairs.push(pair);
         }
-        world.whole().await;
-        world
+        cluster.wait_until_serving().await;
+        cluster
     }
 
     async fn start_pair(&self, plan: &Plan) -> Pair {
@@ -90,8 +90,12 @@
         let setup = backend::Setup {
             service: plan.service.parse().unwrap(),
             slots: 8,
-            time: plan.time,
-            calls: plan.calls.iter().map(|s| s.parse().unwrap()).collect(),
+            time: plan.service_time,
+            calls: plan
+                .nested_calls
+                .iter()
+                .map(|s| s.parse().unwrap())
+                .collect(),
             retries: 2,
             node: ([127, 0, 0, 1], ports.caller).into(),
         };
@@ -112,21 +116,21 @@
         Pair { backend, node: child::Node::start(&setup) }
     }
 
-    /// Waits until each node serves and knows all others.
-    pub async fn whole(&self) {
-        let want = self.pairs.len() as u64;
+    /// Waits until every node serves and knows all others.
+    pub async fn wait_until_serving(&self) {
+        let expected = self.pairs.len() as u64;
         for index in 0..self.pairs.len() {
-            until("the node knows all", || async {
+            until("the node serves and knows all others", || async {
                 let status = self.status(index).await;
                 let known = status["status"]["members"].as_u64();
                 let stage = &status["status"]["stage"];
-                known == Some(want) && stage == "serving"
+                known == Some(expected) && stage == "serving"
             })
             .await;
         }
     }
 
-    /// A node's status; null if it does not answer.
+    /// Returns the status of a node, or null if it does not answer.
     pub async fn status(&self, index: usize) -> Value {
         let node = self.pairs[index].node.operator();
         self.get_json(node, "/v1/status").await
@@ -146,31 +150,32 @@
         status["status"]["revision"].as_u64().unwrap_or(0)
     }
 
-    /// Sends an attempt to a node's listener for calls.
+    /// Sends an attempt to the caller listener of a node.
     pub async fn send(&self, index: usize, attempt: Attempt) -> Came {
         let node = self.pairs[index].node.caller();
         self.client.send(node, attempt).await
     }
 
-    /// Fetches a ticket from a node.
+    /// Requests a ticket from a node.
     pub async fn ticket(&self, index: usize) -> String {
-        let came = self.send(index, Attempt::post("/v1/tickets")).await;
-        let Came::Answer { body, .. } = came else {
-            panic!("no ticket: {came:?}")
+        let response = self.send(index, Attempt::post("/v1/tickets")).await;
+        let Came::Answer { body, .. } = response else {
+            panic!("no ticket: {response:?}")
         };
         let value: Value = serde_json::from_slice(&body).unwrap();
         value["ticket"].as_str().unwrap().to_string()
     }
 
-    /// The node that owns a ticket, as an index.
+    /// Returns the index of the node that is the witness of a ticket.
     pub fn witness_of(&self, ticket: &str) -> usize {
         let witness = ticket.split('~').nth(3).unwrap();
-        let named = |p: &Pair| p.node.ports().node_id().to_string() == witness;
-        self.pairs.iter().position(named).unwrap()
+        let is_witness =
+            |p: &Pair| p.node.ports().node_id().to_string() == witness;
+        self.pairs.iter().position(is_witness).unwrap()
     }
 }
 
-/// A browse call of a request.
+/// A `browse` call with a request id.
 pub fn browse(service: &str, request: &str) -> Attempt {
     Attempt::get(format!("/v1/call/{service}/it"))
         .header(wire::CLASS, "browse")
@@ -178,7 +183,7 @@
         .header(ATTEMPT_ID, request)
 }
 
-/// An order call of a request, with a ticket.
+/// An `order` call with a request id and a ticket.
 pub fn order(service: &str, request: &str, ticket: &str) -> Attempt {
     Attempt::post(format!("/v1/call/{service}/it"))
         .header(wire::CLASS, "order")
@@ -187,8 +192,9 @@
         .header(ATTEMPT_ID, request)
 }
 
-pub fn text(came: &Came) -> String {
-    match came {
+/// Returns the body of an answer, or a description of any other result.
+pub fn body_text(response: &Came) -> String {
+    match response {
         Came::Answer { body, .. } => {
             String::from_utf8_lossy(body).into_owned()
         }
@@ -196,9 +202,10 @@
     }
 }
 
-pub fn refusal(came: &Came) -> (String, String) {
-    match came {
-        Came::Refused(told) => (told.kind.clone(), told.ran.clone()),
+/// Returns the kind of a refusal and whether the call ran.
+pub fn refusal(response: &Came) -> (String, String) {
+    match response {
+        Came::Refused(refused) => (refused.kind.clone(), refused.ran.clone()),
         other => panic!("not refused: {other:?}"),
     }
 }
--- a/crates/walnutmoor/tests/process/main.rs
+++ b/crates/walnutmoor/tests/process/main.rs
@@ -1,5 +1,6 @@
-//! The real binary as separate processes, under kills, freezes, cuts and
-//! outages. Tests wait on conditions; none judges elapsed time.
+//! Tests of the binary in separate processes, with killed and frozen nodes,
+//! broken connections and outages. They wait for conditions and do not assert
+//! elapsed time.
 
 mod calls;
 mod changes;
