--- a/crates/walnutmoor/src/wire.rs
+++ b/crates/walnutmoor/src/wire.rs
@@ -100,10 +100,10 @@
 /// Returns the headers to forward: all except hop-by-hop headers and those of
 /// walnutmoor, which a caller could otherwise forge.
 pub fn forwardable_headers(headers: &HeaderMap) -> HeaderMap {
-    let own = |name: &HeaderName| {
+    let is_dropped = |name: &HeaderName| {
         name.as_str().starts_with(HEADER_PREFIX) || HOP_BY_HOP.contains(name)
     };
-    let kept = headers.iter().filter(|(name, _)| !own(name));
+    let kept = headers.iter().filter(|(name, _)| !is_dropped(name));
     kept.map(|(name, value)| (name.clone(), value.clone())).collect()
 }
 
--- a/crates/walnutmoor/src/worker/listen.rs
+++ b/crates/walnutmoor/src/worker/listen.rs
@@ -40,7 +40,7 @@
     pub tokens: Arc<Tokens>,
     /// The maximum size of a request body.
     pub max_body_bytes: usize,
-    /// The retry budget of one whole request.
+    /// The number of retries of one whole request.
     pub retries: u8,
 }
 
@@ -149,7 +149,7 @@
     max_bytes: usize,
 ) -> Result<Bytes, BodyError> {
     match Limited::new(body, max_bytes).collect().await {
-        Ok(whole) => Ok(whole.to_bytes()),
+        Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => {
             Err(BodyError::TooLarge)
         }
