--- a/crates/walnutmoor-standin/src/mesh/instance.rs
+++ b/crates/walnutmoor-standin/src/mesh/instance.rs
@@ -255,7 +255,7 @@
     /// Says goodbye without having said that it leaves.
     pub async fn leave(&self) -> u16 {
         self.silent.store(true, Ordering::Relaxed);
-        let (method, path, body) = standin::goodbye(&self.lifetime());
+        let (method, path, body) = standin::leave(&self.lifetime());
         let sent = caller::send(self.control, method, &path, &[], body);
         sent.await.map_or(0, |answer| answer.status)
     }
--- a/crates/walnutmoor-standin/src/mesh/store.rs
+++ b/crates/walnutmoor-standin/src/mesh/store.rs
@@ -250,7 +250,7 @@
             .filter(|e| e.kind == kind && e.revision > since);
         let changes: Vec<_> = newer.map(|e| (show(e), e.removed)).collect();
         let revision = Revision(data.revision);
-        let news = || standin::news(&changes, revision);
+        let news = || standin::events(&changes, revision);
         Ok((!changes.is_empty()).then(news))
     }
 
@@ -281,7 +281,7 @@
             }
             if tokio::time::timeout_at(end, changed).await.is_err() {
                 let now = Revision(self.lock().revision);
-                return Ok(reply(StatusCode::OK, standin::news(&[], now)));
+                return Ok(reply(StatusCode::OK, standin::events(&[], now)));
             }
         }
     }
--- a/crates/walnutmoor/src/command/client.rs
+++ b/crates/walnutmoor/src/command/client.rs
@@ -1,4 +1,4 @@
-//! A client of a node's operator interface, for the command line.
+//! An HTTP client for a node's operator interface.
 
 use bytes::Bytes;
 use http::{Method, Request};
@@ -7,17 +7,18 @@
 
 use crate::prelude::*;
 
-/// What a node answered.
-pub(super) struct Answer {
+/// A response of a node.
+pub(super) struct Response {
     pub(super) status: u16,
     pub(super) body: Bytes,
 }
 
-/// How long to wait for a node. A change may wait out a short outage of the
-/// platform.
-const TIMEOUT: std::time::Duration = std::time::Duration::from_secs(15);
+/// The timeout of a whole exchange; long enough for a change to outlast a
+/// short outage of the platform.
+const REQUEST_TIMEOUT: std::time::Duration =
+    std::time::Duration::from_secs(15);
 
-/// One request with its headers.
+/// A request to a node.
 pub(super) struct Call<'a> {
     pub(super) method: Method,
     pub(super) path: &'a str,
@@ -32,8 +33,8 @@
     }
 }
 
-/// Calls a node and waits for its answer.
-pub(super) fn call(node: &str, call: Call<'_>) -> Result<Answer, Failure> {
+/// Sends a request to the node at an address and waits for its response.
+pub(super) fn call(node: &str, call: Call<'_>) -> Result<Response, Failure> {
     let unreachable = |cause: String| Failure::Unreachable {
         address: node.to_string(),
         cause,
@@ -48,25 +49,27 @@
         request = request.header(name, value);
     }
     let body = Full::new(Bytes::from(call.body));
-    let request = request
-        .body(body)
-        .map_err(|_| Failure::usage(format!("`{node}` is not an address")))?;
+    let request = request.body(body).map_err(|_| {
+        Failure::usage(format!("`{node}` is not a valid address"))
+    })?;
     let exchange = async {
         let client = Client::builder(TokioExecutor::new()).build_http();
         let response = client.request(request).await;
-        let response = response.map_err(|e| unreachable(deepest(&e)))?;
+        let response = response.map_err(|e| unreachable(root_cause(&e)))?;
         let status = response.status().as_u16();
         let body = response.into_body().collect().await;
         let body = body.map_err(|e| unreachable(e.to_string()))?;
-        Ok(Answer { status, body: body.to_bytes() })
+        Ok(Response { status, body: body.to_bytes() })
     };
     runtime.block_on(async {
-        let limited = tokio::time::timeout(TIMEOUT, exchange).await;
-        limited.unwrap_or_else(|_| Err(unreachable("no answer".into())))
+        let result = tokio::time::timeout(REQUEST_TIMEOUT, exchange).await;
+        result
+            .unwrap_or_else(|_| Err(unreachable("no response in time".into())))
     })
 }
 
-fn deepest(error: &dyn std::error::Error) -> String {
+/// The message of the innermost source of an error.
+fn root_cause(error: &dyn std::error::Error) -> String {
     let mut error = error;
     while let Some(source) = error.source() {
         error = source;
--- a/crates/walnutmoor/src/command/mod.rs
+++ b/crates/walnutmoor/src/command/mod.rs
@@ -10,9 +10,9 @@
 | `audit` | prints the audit trail | 5 |
 | `status` | prints a node's state | 5 |
 | `charts` | prints the state charts | |
-| `explain ID F...` | tells the story of a request from logs | 1 file |
+| `explain ID F...` | prints the timeline of a request from logs | 3 file |
 
-2 is a mistake on the command line, 1 anything else.
+Exit code 2 is a usage error, 1 any other failure.
 */
 
 mod client;
@@ -44,18 +44,18 @@
   walnutmoor audit                    show who changed what, and when
   walnutmoor status                   show a node's state and counters
   walnutmoor charts                   show the state charts
-  walnutmoor explain ID LOGFILE...    tell the story of one request
+  walnutmoor explain ID LOGFILE...    print the timeline of one request
 
-`walnutmoor COMMAND --help` tells the options of a command.
+`walnutmoor COMMAND --help` prints the options of a command.
 ";
 
-/// Runs the command that the words name.
+/// Runs the command that the arguments name.
 ///
 /// # Errors
 ///
-/// What went wrong, with the exit code in [`Failure::exit_code`].
-pub fn run(words: &[String]) -> Result<(), Failure> {
-    let Some((command, rest)) = words.split_first() else {
+/// Why the command failed; [`Failure::exit_code`] is its exit code.
+pub fn run(args: &[String]) -> Result<(), Failure> {
+    let Some((command, rest)) = args.split_first() else {
         print!("{HELP}");
         return Ok(());
     };
@@ -72,19 +72,19 @@
             print!("{HELP}");
             Ok(())
         }
-        other => Err(Failure::usage(format!("no command `{other}`"))),
+        other => Err(Failure::usage(format!("unknown command `{other}`"))),
     }
 }
 
-/// Parses options; `None` if the help was asked for and printed.
+/// Parses options; `None` if help was requested and printed.
 fn parse(
     options: &mut Options,
     brief: &str,
-    words: &[String],
+    args: &[String],
 ) -> Result<Option<getopts::Matches>, Failure> {
     options.optflag("h", "help", "print this help");
     let matches = options
-        .parse(words)
+        .parse(args)
         .map_err(|error| Failure::usage(error.to_string()))?;
     if matches.opt_present("help") {
         let brief = format!("usage: walnutmoor {brief}");
@@ -94,17 +94,17 @@
     Ok(Some(matches))
 }
 
-fn no_more(matches: &getopts::Matches) -> Result<(), Failure> {
+fn reject_extra_args(matches: &getopts::Matches) -> Result<(), Failure> {
     match matches.free.first() {
         None => Ok(()),
-        Some(word) => {
-            Err(Failure::usage(format!("`{word}` is one word too many")))
+        Some(arg) => {
+            Err(Failure::usage(format!("unexpected argument `{arg}`")))
         }
     }
 }
 
-fn mesh(words: &[String]) -> Result<(), Failure> {
-    let Some(path) = settings_path("mesh", words)? else {
+fn mesh(args: &[String]) -> Result<(), Failure> {
+    let Some(path) = settings_path("mesh", args)? else {
         return Ok(());
     };
     let settings = mesh::settings::Settings::read(&path)?;
@@ -113,37 +113,37 @@
 
 fn with_settings(
     name: &str,
-    words: &[String],
-    then: impl FnOnce(Settings) -> Result<(), Failure>,
+    args: &[String],
+    run: impl FnOnce(Settings) -> Result<(), Failure>,
 ) -> Result<(), Failure> {
-    match settings_path(name, words)? {
-        Some(path) => then(Settings::read(&path)?),
+    match settings_path(name, args)? {
+        Some(path) => run(Settings::read(&path)?),
         None => Ok(()),
     }
 }
 
-/// The settings file that the words name; `None` if the help was printed.
+/// The path in `--settings`; `None` if help was printed.
 fn settings_path(
     name: &str,
-    words: &[String],
+    args: &[String],
 ) -> Result<Option<PathBuf>, Failure> {
     let mut options = Options::new();
     options.optopt("", "settings", "the settings file, in YAML", "FILE");
     let brief = format!("{name} --settings FILE");
-    let Some(matches) = parse(&mut options, &brief, words)? else {
+    let Some(matches) = parse(&mut options, &brief, args)? else {
         return Ok(None);
     };
-    no_more(&matches)?;
+    reject_extra_args(&matches)?;
     let missing = || Failure::usage("--settings FILE is missing");
     let path = matches.opt_str("settings").ok_or_else(missing)?;
     Ok(Some(path.into()))
 }
 
-/// The key that only settings of the mesh have.
+/// A key that only the settings of `mesh` have.
 const MESH_KEY: &str = "\ncallers:";
 
-fn check(words: &[String]) -> Result<(), Failure> {
-    let Some(path) = settings_path("check", words)? else {
+fn check(args: &[String]) -> Result<(), Failure> {
+    let Some(path) = settings_path("check", args)? else {
         return Ok(());
     };
     let text = std::fs::read_to_string(&path).unwrap_or_default();
@@ -158,19 +158,19 @@
     Ok(())
 }
 
-fn charts(words: &[String]) -> Result<(), Failure> {
+fn charts(args: &[String]) -> Result<(), Failure> {
     let mut options = Options::new();
-    let Some(matches) = parse(&mut options, "charts", words)? else {
+    let Some(matches) = parse(&mut options, "charts", args)? else {
         return Ok(());
     };
-    no_more(&matches)?;
-    print!("{}", table::<server::State, server::Trigger>(server::CHART));
-    print!("{}", table::<once::State, once::Trigger>(once::CHART));
-    print!("{}", table::<config::State, config::Trigger>(config::CHART));
+    reject_extra_args(&matches)?;
+    print!("{}", chart_table::<server::State, server::Trigger>(server::CHART));
+    print!("{}", chart_table::<once::State, once::Trigger>(once::CHART));
+    print!("{}", chart_table::<config::State, config::Trigger>(config::CHART));
     Ok(())
 }
 
-fn table<S: Symbol, T: Symbol>(yaml: &str) -> String {
+fn chart_table<S: Symbol, T: Symbol>(yaml: &str) -> String {
     let chart = Chart::<S, T>::parse(yaml);
     chart.expect("the shipped charts load").table()
 }
--- a/crates/walnutmoor/src/command/node.rs
+++ b/crates/walnutmoor/src/command/node.rs
@@ -1,4 +1,4 @@
-//! `walnutmoor node`: starts the duties and waits for the end.
+//! `walnutmoor node`: starts the threads of a node and waits for its end.
 
 use std::{
     net::SocketAddr,
@@ -28,7 +28,7 @@
     telemetry,
 };
 
-/// What the listeners share.
+/// State that the listeners and the forwarder share.
 struct Shared {
     ring: Ring,
     calls: Arc<AtomicU64>,
@@ -52,7 +52,7 @@
 pub(super) fn run(settings: Settings) -> Result<(), Failure> {
     telemetry::install_log(settings.log.level);
     telemetry::install_metrics()?;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let platform = Arc::new(platform(&settings));
     let (ring, input) = decide::ring(settings.limits.ring);
     let shared = Shared {
@@ -66,10 +66,10 @@
     let outlets = start_outlets(&settings, &shared, &platform, backend)?;
     start_listeners(&settings, &shared, &platform)?;
     start_signals(ring.clone())?;
-    let node = start_node(&settings, begun);
+    let node = start_node(&settings, started_at);
     if let Some(server) = &settings.server {
         let event = Event::Announce(server.announcement());
-        // The ring is empty yet.
+        // The ring is still empty, so it has room.
         let _ = ring.try_send(Input::Event(Box::new(event)));
     }
     log::info!(
@@ -79,14 +79,17 @@
         settings.caller.address,
         settings.operator.address,
     );
-    let decisions = thread::Builder::new()
+    let thread = thread::Builder::new()
         .name("decide".to_string())
-        .spawn(move || decide::run(node, input, outlets, begun))
-        .map_err(|e| Failure::Internal(format!("no thread: {e}")))?;
-    let ended = decisions.join();
-    // The last packets are on their way to the socket.
+        .spawn(move || decide::run(node, input, outlets, started_at))
+        .map_err(|e| {
+            Failure::Internal(format!("cannot start thread `decide`: {e}"))
+        })?;
+    let result = thread.join();
+    // Lets the last packets reach the socket.
     thread::sleep(std::time::Duration::from_millis(50));
-    ended.map_err(|_| Failure::Internal("the decisions ended".to_string()))
+    result
+        .map_err(|_| Failure::Internal("thread `decide` panicked".to_string()))
 }
 
 fn platform(settings: &Settings) -> Platform {
@@ -96,45 +99,48 @@
         }
         settings::Platform::Memory => {
             let memory = Memory::new();
-            seed(&memory, settings);
+            load_classes(&memory, settings);
             Platform::Memory(memory)
         }
     }
 }
 
-/// Puts the classes of the settings into the in-memory platform.
-fn seed(memory: &Memory, settings: &Settings) {
+/// Stores the classes of the settings in the in-memory platform.
+fn load_classes(memory: &Memory, settings: &Settings) {
     let mut config = Config::default();
-    for seed in &settings.classes {
-        let change = format!("settings-{}", seed.name);
+    for class in &settings.classes {
+        let change = format!("settings-{}", class.name);
         let change = change.chars().take(64).collect::<String>();
         let author = Author {
-            change: change.parse().expect("made of a legal name"),
+            change: change.parse().expect("built from a valid class name"),
             by: "settings".to_string(),
             at: wall_clock(),
         };
-        config.apply(author, Op::Set(seed.clone().into()));
+        config.apply(author, Op::Set(class.clone().into()));
     }
-    let value = serde_json::to_string(&config).expect("plain data");
+    let value = serde_json::to_string(&config)
+        .expect("a configuration always encodes");
     let written = memory.put(Key::config(), None, value);
     debug_assert!(matches!(written, Reply::Written(_)));
 }
 
+/// Milliseconds since the Unix epoch; 0 if the clock is before it.
 fn wall_clock() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |span| span.as_millis() as u64)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |span| span.as_millis() as u64)
 }
 
-fn start_node(settings: &Settings, begun: Instant) -> Node<Starting> {
+fn start_node(settings: &Settings, started_at: Instant) -> Node<Starting> {
     let seed = rand::random();
-    // The wall clock only orders the lives of one node. One that restarts
-    // with its clock set back hears of its former life and outbids it.
-    let config = settings.core(seed, wall_clock());
-    Node::new(config, Millis(begun.elapsed().as_millis() as u64))
+    // The wall clock only orders the incarnations of one node. A node that
+    // restarts with its clock set back learns of its previous incarnation
+    // from peers and supersedes it.
+    let config = settings.core_config(seed, wall_clock());
+    Node::new(config, Millis(started_at.elapsed().as_millis() as u64))
 }
 
-/// Starts the built-in backend server if the settings want it; gives the
-/// address of the backend server.
+/// Returns the address of the backend server, after starting the built-in one
+/// if the settings name a service without an address.
 fn start_echo(settings: &Settings) -> Result<Option<SocketAddr>, Failure> {
     let Some(server) = &settings.server else { return Ok(None) };
     if server.address.is_some() {
@@ -145,16 +151,17 @@
     Ok(Some(address))
 }
 
+/// Starts the threads that send calls, gossip and platform requests.
 fn start_outlets(
     settings: &Settings,
     shared: &Shared,
     platform: &Arc<Platform>,
     backend: Option<SocketAddr>,
 ) -> Result<Outlets, Failure> {
-    let room = settings.limits.ring;
-    let (forward, commands) = mpsc::channel(room);
-    let (gossip_out, outbox) = mpsc::channel(room);
-    let (platform_out, requests) = mpsc::channel(room);
+    let capacity = settings.limits.ring;
+    let (forward, commands) = mpsc::channel(capacity);
+    let (gossip_out, outbox) = mpsc::channel(capacity);
+    let (platform_out, requests) = mpsc::channel(capacity);
     let setup = forward::Setup {
         ring: shared.ring.clone(),
         tokens: shared.tokens.clone(),
@@ -171,8 +178,8 @@
     Ok(Outlets { forward, gossip, platform })
 }
 
-/// Each listener gets its thread. A failure to listen is reported before
-/// anything else starts.
+/// Starts each listener on a thread of its own, and returns the first failure
+/// to listen.
 fn start_listeners(
     settings: &Settings,
     shared: &Shared,
@@ -188,25 +195,29 @@
     listener("operator", move || operator::start(context, address))
 }
 
+/// Starts one listener and waits until it listens or fails to.
 fn listener<C, F>(name: &str, start: F) -> Result<(), Failure>
 where
     C: dropshot::ServerContext,
     F: FnOnce() -> Result<dropshot::HttpServer<C>, Failure> + Send + 'static,
 {
-    let (told, tell) = std::sync::mpsc::channel();
+    let (sender, receiver) = std::sync::mpsc::channel();
     duty::spawn(name, move || async move {
         match start() {
             Ok(server) => {
-                let _ = told.send(Ok(()));
+                let _ = sender.send(Ok(()));
                 let _ = server.await;
             }
-            Err(failure) => drop(told.send(Err(failure))),
+            Err(failure) => drop(sender.send(Err(failure))),
         }
     })?;
-    let ended = |_| Failure::Internal("a listener ended".to_string());
-    tell.recv().map_err(ended)?
+    let ended = |_| {
+        Failure::Internal("a listener thread ended during startup".to_string())
+    };
+    receiver.recv().map_err(ended)?
 }
 
+/// Drains the node on SIGTERM or SIGINT.
 fn start_signals(ring: Ring) -> Result<(), Failure> {
     duty::spawn("signals", move || async move {
         use tokio::signal::unix::{SignalKind, signal};
@@ -216,7 +227,7 @@
             _ = term.recv() => {}
             _ = int.recv() => {}
         }
-        log::info!("told to stop: draining");
+        log::info!("received a stop signal: draining");
         let _ = ring.send(Input::Drain);
     })
 }
--- a/crates/walnutmoor/src/command/operate.rs
+++ b/crates/walnutmoor/src/command/operate.rs
@@ -1,4 +1,4 @@
-//! Commands that talk to a node: classes, audit trail, status.
+//! Commands that query or change a running node: `class`, `audit`, `status`.
 
 use getopts::{Matches, Options};
 use http::Method;
@@ -6,8 +6,8 @@
 use walnutmoor_core::config::{Entry, Op};
 
 use super::{
-    client::{self, Answer, Call},
-    no_more, parse,
+    client::{self, Call, Response},
+    parse, reject_extra_args,
 };
 use crate::{
     duty::operator::{
@@ -16,8 +16,8 @@
     prelude::*,
 };
 
-/// Where the operator interface listens by default.
-const NODE: &str = "127.0.0.1:7401";
+/// The default operator address of a node.
+const DEFAULT_ADDRESS: &str = "127.0.0.1:7401";
 
 fn options() -> Options {
     let mut options = Options::new();
@@ -26,60 +26,64 @@
     options
 }
 
-fn node(matches: &Matches) -> String {
-    matches.opt_str("node").unwrap_or_else(|| NODE.to_string())
+fn node_address(matches: &Matches) -> String {
+    matches.opt_str("node").unwrap_or_else(|| DEFAULT_ADDRESS.to_string())
 }
 
-/// A refusal as a node tells it.
+/// The body of a refusal.
 #[derive(Deserialize)]
-struct Told {
+struct Refusal {
     kind: String,
     ran: String,
     detail: Option<String>,
     retry_after_ms: Option<u64>,
 }
 
-fn read<T: DeserializeOwned>(answer: &Answer) -> Result<T, Failure> {
-    if answer.status != 200 {
-        return Err(refused(answer));
+/// Decodes the body of a response with status 200.
+fn read<T: DeserializeOwned>(response: &Response) -> Result<T, Failure> {
+    if response.status != 200 {
+        return Err(refused(response));
     }
-    serde_json::from_slice(&answer.body).map_err(|error| {
-        Failure::Internal(format!("the node's answer is strange: {error}"))
+    serde_json::from_slice(&response.body).map_err(|error| {
+        Failure::Internal(format!(
+            "cannot decode the node's response: {error}"
+        ))
     })
 }
 
-fn refused(answer: &Answer) -> Failure {
-    let conflict = answer.status == 412;
-    let message = match serde_json::from_slice::<Told>(&answer.body) {
-        Ok(told) => {
-            let mut message = match told.kind.as_str() {
+/// The failure that a response with another status stands for.
+fn refused(response: &Response) -> Failure {
+    let conflict = response.status == 412;
+    let message = match serde_json::from_slice::<Refusal>(&response.body) {
+        Ok(refusal) => {
+            let mut message = match refusal.kind.as_str() {
                 "conflict" => "conflict: another change came first; read \
-                     the class again and decide anew"
+                     the class again before you retry"
                     .to_string(),
                 kind => kind.to_string(),
             };
-            if let Some(detail) = told.detail {
+            if let Some(detail) = refusal.detail {
                 message += &format!(": {detail}");
             }
-            if told.ran == "unknown" {
+            if refusal.ran == "unknown" {
                 message += " (the change may have taken effect; see \
                      `walnutmoor audit`)";
             }
-            if let Some(ms) = told.retry_after_ms {
+            if let Some(ms) = refusal.retry_after_ms {
                 message += &format!(" (try again in {ms}ms)");
             }
             message
         }
-        Err(_) => format!("status {}", answer.status),
+        Err(_) => format!("HTTP status {}", response.status),
     };
     Failure::Refused { message, conflict }
 }
 
 /// `walnutmoor class ...`
-pub(super) fn class(words: &[String]) -> Result<(), Failure> {
-    let none = Failure::usage("class: say list, get, set or remove");
-    let (verb, rest) = words.split_first().ok_or(none)?;
-    match verb.as_str() {
+pub(super) fn class(args: &[String]) -> Result<(), Failure> {
+    let missing = Failure::usage("class: expected list, get, set or remove");
+    let (command, rest) = args.split_first().ok_or(missing)?;
+    match command.as_str() {
         "list" => list(rest),
         "get" => get(rest),
         "set" => set(rest),
@@ -88,7 +92,9 @@
             println!("usage: walnutmoor class list|get|set|remove ...");
             Ok(())
         }
-        other => Err(Failure::usage(format!("class: no `{other}`"))),
+        other => {
+            Err(Failure::usage(format!("class: unknown command `{other}`")))
+        }
     }
 }
 
@@ -99,36 +105,39 @@
     println!("{name:<24} {kind:<9} {} within {within}", target.share);
 }
 
-fn list(words: &[String]) -> Result<(), Failure> {
+fn list(args: &[String]) -> Result<(), Failure> {
     let mut options = options();
     let brief = "class list [--node ADDRESS:PORT]";
-    let Some(matches) = parse(&mut options, brief, words)? else {
+    let Some(matches) = parse(&mut options, brief, args)? else {
         return Ok(());
     };
-    no_more(&matches)?;
-    let answer = client::call(&node(&matches), Call::get("/v1/config"))?;
-    let config: ShownConfig = read(&answer)?;
+    reject_extra_args(&matches)?;
+    let response =
+        client::call(&node_address(&matches), Call::get("/v1/config"))?;
+    let config: ShownConfig = read(&response)?;
     println!("revision {}", config.revision);
     config.classes.iter().for_each(print_class);
     Ok(())
 }
 
-fn name(matches: &Matches) -> Result<walnutmoor_core::id::Class, Failure> {
+fn class_name(
+    matches: &Matches,
+) -> Result<walnutmoor_core::id::Class, Failure> {
     match &matches.free[..] {
         [name] => Ok(name.parse()?),
-        _ => Err(Failure::usage("class: name one class")),
+        _ => Err(Failure::usage("class: expected exactly one class name")),
     }
 }
 
-fn get(words: &[String]) -> Result<(), Failure> {
+fn get(args: &[String]) -> Result<(), Failure> {
     let mut options = options();
     let brief = "class get NAME [--node ADDRESS:PORT]";
-    let Some(matches) = parse(&mut options, brief, words)? else {
+    let Some(matches) = parse(&mut options, brief, args)? else {
         return Ok(());
     };
-    let path = format!("/v1/classes/{}", name(&matches)?);
-    let answer = client::call(&node(&matches), Call::get(&path))?;
-    print_class(&read(&answer)?);
+    let path = format!("/v1/classes/{}", class_name(&matches)?);
+    let response = client::call(&node_address(&matches), Call::get(&path))?;
+    print_class(&read(&response)?);
     Ok(())
 }
 
@@ -157,13 +166,18 @@
     Ok(headers)
 }
 
-fn set(words: &[String]) -> Result<(), Failure> {
+fn set(args: &[String]) -> Result<(), Failure> {
     let mut options = change_options();
     options.optopt("", "kind", "once, browse or internal", "KIND");
-    options.optopt("", "share", "the share to complete", "PERCENT");
-    options.optopt("", "within", "within how long", "SPAN");
+    options.optopt(
+        "",
+        "share",
+        "the share of requests to complete in time",
+        "PERCENT",
+    );
+    options.optopt("", "within", "the time to complete them in", "SPAN");
     let brief = "class set NAME --kind KIND --share PERCENT --within SPAN";
-    let Some(matches) = parse(&mut options, brief, words)? else {
+    let Some(matches) = parse(&mut options, brief, args)? else {
         return Ok(());
     };
     let within: Millis = required(&matches, "within")?.parse().map_err(
@@ -173,51 +187,53 @@
     let kind = required(&matches, "kind")?.parse()?;
     let within = crate::settings::Span(within);
     let wanted = Wanted { kind, target: WantedTarget { share, within } };
-    let body = serde_json::to_string(&wanted).expect("plain data");
+    let body = serde_json::to_string(&wanted).expect("a class encodes");
     change(&matches, Method::PUT, body)
 }
 
-fn remove(words: &[String]) -> Result<(), Failure> {
+fn remove(args: &[String]) -> Result<(), Failure> {
     let mut options = change_options();
     let brief = "class remove NAME [--if-match REVISION]";
-    let Some(matches) = parse(&mut options, brief, words)? else {
+    let Some(matches) = parse(&mut options, brief, args)? else {
         return Ok(());
     };
     change(&matches, Method::DELETE, String::new())
 }
 
+/// Sends a change of a class and prints the accepted revision.
 fn change(
     matches: &Matches,
     method: Method,
     body: String,
 ) -> Result<(), Failure> {
-    let path = format!("/v1/classes/{}", name(matches)?);
+    let path = format!("/v1/classes/{}", class_name(matches)?);
     let headers = headers(matches)?;
     let call = Call { method, path: &path, headers, body };
-    let answer = client::call(&node(matches), call)?;
-    let accepted: Accepted = read(&answer)?;
+    let response = client::call(&node_address(matches), call)?;
+    let accepted: Accepted = read(&response)?;
     println!("accepted as revision {}", accepted.revision);
     Ok(())
 }
 
 /// `walnutmoor audit`
-pub(super) fn audit(words: &[String]) -> Result<(), Failure> {
+pub(super) fn audit(args: &[String]) -> Result<(), Failure> {
     let mut options = options();
     let brief = "audit [--node ADDRESS:PORT]";
-    let Some(matches) = parse(&mut options, brief, words)? else {
+    let Some(matches) = parse(&mut options, brief, args)? else {
         return Ok(());
     };
-    no_more(&matches)?;
-    let answer = client::call(&node(&matches), Call::get("/v1/audit"))?;
-    let entries: Vec<Entry> = read(&answer)?;
+    reject_extra_args(&matches)?;
+    let response =
+        client::call(&node_address(&matches), Call::get("/v1/audit"))?;
+    let entries: Vec<Entry> = read(&response)?;
     for entry in &entries {
-        println!("{}", line(entry));
+        println!("{}", format_entry(entry));
     }
     Ok(())
 }
 
-/// Who, when, what, from which revision to which.
-fn line(entry: &Entry) -> String {
+/// One entry of the audit trail as a line of text.
+fn format_entry(entry: &Entry) -> String {
     let to = entry.revision.0;
     let (at, by) = (entry.author.at, &entry.author.by);
     let before = match &entry.before {
@@ -243,16 +259,17 @@
 }
 
 /// `walnutmoor status`
-pub(super) fn status(words: &[String]) -> Result<(), Failure> {
+pub(super) fn status(args: &[String]) -> Result<(), Failure> {
     let mut options = options();
     let brief = "status [--node ADDRESS:PORT]";
-    let Some(matches) = parse(&mut options, brief, words)? else {
+    let Some(matches) = parse(&mut options, brief, args)? else {
         return Ok(());
     };
-    no_more(&matches)?;
-    let answer = client::call(&node(&matches), Call::get("/v1/status"))?;
-    let value: serde_json::Value = read(&answer)?;
-    let text = serde_json::to_string_pretty(&value).expect("plain data");
+    reject_extra_args(&matches)?;
+    let response =
+        client::call(&node_address(&matches), Call::get("/v1/status"))?;
+    let value: serde_json::Value = read(&response)?;
+    let text = serde_json::to_string_pretty(&value).expect("JSON encodes");
     println!("{text}");
     Ok(())
 }
--- a/crates/walnutmoor/src/failure.rs
+++ b/crates/walnutmoor/src/failure.rs
@@ -1,34 +1,34 @@
 /*!
-Why a command failed, with what is wrong and where.
+Errors of commands, with their diagnostics and exit codes.
 
-Each kind has its own exit code, so that scripts can tell a bad settings file
-from an unreachable node.
+Scripts can tell the kinds apart by [`Failure::exit_code`], such as an invalid
+settings file and an unreachable node.
 */
 
 use miette::{Diagnostic, NamedSource, SourceSpan};
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 pub enum Failure {
-    /// The command line makes no sense.
+    /// The command line is invalid.
     #[error("{message}")]
     #[diagnostic(code(usage), help("{help}"))]
     Usage {
-        /// What is wrong.
+        /// What is invalid.
         message: String,
-        /// What to do instead.
+        /// The command that prints the usage.
         help: String,
     },
-    /// A settings file is wrong.
+    /// A settings file is invalid.
     #[error("{message}")]
     #[diagnostic(code(settings))]
     Settings {
-        /// What is wrong.
+        /// What is invalid.
         message: String,
-        /// The file.
+        /// The name and text of the file.
         #[source_code]
         source_code: std::sync::Arc<NamedSource<String>>,
-        /// Where in the file.
+        /// The position in the file, if known.
         #[label("here")]
         span: Option<SourceSpan>,
     },
@@ -36,55 +36,58 @@
     #[error("cannot read {path}: {cause}")]
     #[diagnostic(code(file))]
     File {
-        /// Which.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
-    /// A port cannot be opened.
+    /// A listener cannot be bound.
     #[error("cannot listen on {address}: {cause}")]
-    #[diagnostic(code(listen), help("is another process there?"))]
+    #[diagnostic(
+        code(listen),
+        help("check whether another process uses this address")
+    )]
     Listen {
-        /// Where.
+        /// The address.
         address: String,
-        /// Why.
+        /// The error message.
         cause: String,
     },
-    /// A node cannot be reached.
+    /// A node cannot be reached or does not respond in time.
     #[error("no node answers at {address}: {cause}")]
     #[diagnostic(
         code(unreachable),
         help("name another node with --node ADDRESS:PORT")
     )]
     Unreachable {
-        /// Where.
+        /// The address.
         address: String,
-        /// Why.
+        /// The error message.
         cause: String,
     },
-    /// A node refused.
+    /// A node refused a request.
     #[error("the node refused: {message}")]
     #[diagnostic(code(refused))]
     Refused {
-        /// What it said.
+        /// The reason that the node gave.
         message: String,
-        /// Whether it was a conflict with another change.
+        /// True if the request conflicts with another change.
         conflict: bool,
     },
-    /// Something that the process needs ended.
+    /// An internal error, such as a thread that ended early.
     #[error("{0}")]
     #[diagnostic(code(internal))]
     Internal(String),
 }
 
 impl Failure {
-    /// A mistake on the command line.
+    /// Creates a [`Failure::Usage`] that refers to `walnutmoor --help`.
     pub fn usage(message: impl Into<String>) -> Failure {
         let help = "walnutmoor --help".to_string();
         Failure::Usage { message: message.into(), help }
     }
 
-    /// The exit code of the process.
+    /// Returns the exit code of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
             Failure::Usage { .. } => 2,
--- a/crates/walnutmoor/src/lib.rs
+++ b/crates/walnutmoor/src/lib.rs
@@ -1,14 +1,14 @@
 /*!
 walnutmoor: an overload control layer for service call graphs.
 
-This crate is the daemon: one process beside each backend server. All
-decisions are made by [`walnutmoor_core`]; this crate gives them sockets, a
-clock and a platform, and gives operators a command line, settings, metrics
-and a log. Embedders want the core; this crate's library face is for the
-binary and for tests.
+This crate is the daemon, which runs as one process beside each backend
+server. [`walnutmoor_core`] makes all decisions; this crate provides sockets,
+a clock and a platform, and the command line, settings, metrics and log.
+To embed the control layer, use the core: the library target of this crate
+serves the binary and the tests.
 
-The duties of the process are threads, joined by bounded rings. See
-`docs/ARCHITECTURE.md` for the picture.
+The tasks of the process run on threads that exchange messages over bounded
+ring buffers; see `docs/ARCHITECTURE.md`.
 
 # Example
 
--- a/crates/walnutmoor/src/main.rs
+++ b/crates/walnutmoor/src/main.rs
@@ -1,12 +1,12 @@
-//! The one binary: `walnutmoor node|check|class|audit|status|charts`.
+//! The `walnutmoor` binary; see [`walnutmoor::command`] for its commands.
 
 use std::process::ExitCode;
 
 use walnutmoor::command;
 
 fn main() -> ExitCode {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    match command::run(&words) {
+    let args: Vec<String> = std::env::args().skip(1).collect();
+    match command::run(&args) {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
             let code = failure.exit_code();
--- a/crates/walnutmoor/src/mesh/control.rs
+++ b/crates/walnutmoor/src/mesh/control.rs
@@ -60,7 +60,7 @@
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     match desk {
-        Desk::Ready if request.uri().path() == heartbeat::READY => {
+        Desk::Ready if request.uri().path() == heartbeat::READY_PATH => {
             reply(ready(state), "")
         }
         Desk::Ready => reply(StatusCode::NOT_FOUND, ""),
--- a/crates/walnutmoor/src/mesh/desired.rs
+++ b/crates/walnutmoor/src/mesh/desired.rs
@@ -87,7 +87,7 @@
     let table = desired::decode(&raw)?;
     let raw = match table.accounts.is_empty() {
         true => raw,
-        false => desired::seal(&raw)?.into(),
+        false => desired::hash_keys(&raw)?.into(),
     };
     Ok((table, raw))
 }
--- a/crates/walnutmoor/src/mesh/ingress/admission.rs
+++ b/crates/walnutmoor/src/mesh/ingress/admission.rs
@@ -65,7 +65,7 @@
             account.as_ref().map_or(urgency, |a| a.urgency(urgency))
         }
     };
-    header::prepare(&mut head.headers);
+    header::sanitize(&mut head.headers);
     Ok(dispatch::Request {
         urgency,
         inner: parent.is_some(),
--- a/crates/walnutmoor/src/mesh/instance.rs
+++ b/crates/walnutmoor/src/mesh/instance.rs
@@ -123,8 +123,8 @@
                     };
                     let (status, headers) = (head.status, head.headers);
                     let verdict =
-                        header::judge(status.as_u16(), &headers, attempt);
-                    if verdict != Verdict::Foreign {
+                        header::classify(status.as_u16(), &headers, attempt);
+                    if verdict != Verdict::Untrusted {
                         self.rest(now(), connection, &headers);
                     }
                     return Outcome::Answer(verdict, status, headers, body);
--- a/crates/walnutmoor/src/mesh/run.rs
+++ b/crates/walnutmoor/src/mesh/run.rs
@@ -123,7 +123,13 @@
     let mut headers = wire::unpack(call.headers);
     let caller = call.caller.as_str();
     let account = call.account.as_ref().map(Account::as_str);
-    header::address(&mut headers, left, instance, caller, account);
+    header::set_instance_headers(
+        &mut headers,
+        left,
+        instance,
+        caller,
+        account,
+    );
     let mut request = Request::new(Full::new(call.body));
     *request.method_mut() = call.method.parse().ok()?;
     *request.uri_mut() = call.path.parse().ok()?;
@@ -143,7 +149,7 @@
         Outcome::Broken(_) => return Reply::Unknown(Kind::Broken),
     };
     match verdict {
-        Verdict::Genuine => answered(status, headers, body, footprint),
+        Verdict::Trusted => answered(status, headers, body, footprint),
         // No sign of overload: the instance is never given more than it has
         // slots, so what it turns away it would turn away at any load.
         Verdict::NotRun => not_run(Kind::Overloaded, true),
@@ -151,7 +157,7 @@
             state.serve.replaced(state);
             not_run(Kind::Unreachable, true)
         }
-        Verdict::Foreign => Reply::Unknown(Kind::Broken),
+        Verdict::Untrusted => Reply::Unknown(Kind::Broken),
     }
 }
 
@@ -161,7 +167,7 @@
     body: Bytes,
     footprint: Footprint,
 ) -> Reply {
-    header::strip_hop(&mut headers);
+    header::strip_hop_by_hop(&mut headers);
     headers.remove(http::header::CONTENT_LENGTH);
     let headers = wire::pack(&headers);
     let status = status.as_u16();
--- a/crates/walnutmoor/src/mesh/serve.rs
+++ b/crates/walnutmoor/src/mesh/serve.rs
@@ -202,18 +202,18 @@
     pub fn new(settings: &Settings) -> Serve {
         let bounds = settings.bounds();
         let mut config = retry_budget::Config::new();
-        if let Some(ratio) = bounds.repeat_ratio {
+        if let Some(ratio) = bounds.retry_ratio {
             config = config.ratio(ratio * RATIO_PART);
             config = config.total(ratio * TOTAL_PART);
             let total = ratio * LEAF_TOTAL_PART;
             config = config.leaf(ratio * LEAF_PART, total);
             config = config.carry_over(EARLIER_PART);
         }
-        let slack = bounds.repeat_slack.map(|slack| slack * SLACK_PART);
+        let slack = bounds.retry_slack.map(|slack| slack * SLACK_PART);
         if let Some(slack) = slack {
             config = config.slack(slack / SLACK_SHARERS as f64);
         }
-        if let Some(window) = bounds.repeat_window {
+        if let Some(window) = bounds.retry_window {
             config = config.window(window);
         }
         Serve {
--- a/crates/walnutmoor/src/mesh/settings.rs
+++ b/crates/walnutmoor/src/mesh/settings.rs
@@ -101,7 +101,7 @@
         let text = std::fs::read_to_string(path).map_err(|cause| {
             Failure::File { path: path.display().to_string(), cause }
         })?;
-        crate::settings::yaml(&path.display().to_string(), &text)
+        crate::settings::parse_yaml(&path.display().to_string(), &text)
     }
 
     /// Parses the text of a file.
@@ -110,7 +110,7 @@
     ///
     /// If a key is missing or wrong.
     pub fn parse(text: &str) -> Result<Settings, Failure> {
-        crate::settings::yaml("settings", text)
+        crate::settings::parse_yaml("settings", text)
     }
 
     /// The address by which other nodes know this one.
--- a/crates/walnutmoor/src/mesh/store/client.rs
+++ b/crates/walnutmoor/src/mesh/store/client.rs
@@ -162,7 +162,7 @@
             }
             self.unreadable += page.unreadable;
             objects.extend(page.objects);
-            if !page.more {
+            if !page.has_more {
                 return Ok((objects, first));
             }
         }
--- a/crates/walnutmoor/src/mesh/store/suspects.rs
+++ b/crates/walnutmoor/src/mesh/store/suspects.rs
@@ -128,7 +128,7 @@
 ) -> Result<Stamp, Error> {
     let read = Read::Watch { since: since.revision, wait: WATCH };
     let answer = client.read(Kind::Suspect, &read).await?;
-    let news = store::news(&answer.body)?;
+    let news = store::events(&answer.body)?;
     if answer.era != since.era {
         return Err(Error::Restored);
     }
--- a/crates/walnutmoor/src/mesh/store/watch.rs
+++ b/crates/walnutmoor/src/mesh/store/watch.rs
@@ -112,7 +112,7 @@
 ) -> Result<Stamp, Error> {
     let read = Read::Watch { since: since.revision, wait: WATCH };
     let answer = client.read(Kind::Desired, &read).await?;
-    let news = store::news(&answer.body)?;
+    let news = store::events(&answer.body)?;
     let era = answer.era;
     if era != since.era {
         return Err(Error::Restored);
--- a/crates/walnutmoor/src/mesh/wire.rs
+++ b/crates/walnutmoor/src/mesh/wire.rs
@@ -54,7 +54,7 @@
         _ => 503,
     };
     let mut answer = plain(status, kind);
-    let (name, value) = header::come_back(retry);
+    let (name, value) = header::retry_after(retry);
     answer.headers_mut().insert(name, value);
     answer
 }
--- a/crates/walnutmoor/src/settings.rs
+++ b/crates/walnutmoor/src/settings.rs
@@ -1,9 +1,9 @@
 /*!
-Settings of one node, in YAML, checked whole before anything starts.
+Settings of a node, read from YAML and validated before the node starts.
 
-Spans are written with their unit (`200ms`, `2s`, `1m`), sizes with theirs
-(`64KB`, `1MB`). An unknown key, a wrong unit or a value out of bounds is an
-error that names the line. `docs/SETTINGS.md` lists every key with its
+Spans are written with a unit (`200ms`, `2s`, `1m`), and so are sizes (`64KB`,
+`1MB`). An unknown key, a wrong unit or a value out of bounds is an error that
+shows its position in the file. `docs/SETTINGS.md` lists every key with its
 default.
 
 # Example
@@ -25,7 +25,7 @@
 
 use crate::prelude::*;
 
-/// A span as settings write it: a number and a unit.
+/// A span of time, written as a number and a unit, as in `200ms`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Span(pub Millis);
@@ -44,7 +44,8 @@
     }
 }
 
-/// A size in bytes: a number and `B`, `KB` or `MB` (of 1,024).
+/// A size in bytes, written as a number and `B`, `KB` or `MB`; a kilobyte has
+/// 1,024 bytes.
 #[derive(
     Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
@@ -57,7 +58,7 @@
     }
 }
 
-/// A size that was not written as a number and a unit.
+/// A text that is not a number and a unit of size.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("`{0}` is not a size: write a number and a unit, as in 64KB or 1MB")]
 pub struct SizeError(String);
@@ -98,46 +99,46 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who this node is.
+    /// The identity of this node.
     pub node: Node,
-    /// Where callers come in.
+    /// The listener for callers.
     #[serde(default = "Listener::caller")]
     pub caller: Listener,
-    /// Where operators come in.
+    /// The listener of the operator interface.
     #[serde(default = "Listener::operator")]
     pub operator: Listener,
     /// The platform's object API.
     #[serde(default)]
     pub platform: Platform,
-    /// The backend server beside this node, unless it announces itself.
+    /// The backend server of this node; `None` if it announces itself.
     #[serde(default)]
     pub server: Option<Server>,
-    /// Bounds.
+    /// Bounds on memory and time.
     #[serde(default)]
     pub limits: Limits,
-    /// Logs.
+    /// The log.
     #[serde(default)]
     pub log: Log,
-    /// Classes to begin with; only on the in-memory platform.
+    /// The initial classes; only with the in-memory platform.
     #[serde(default)]
-    pub classes: Vec<Seed>,
+    pub classes: Vec<ClassSpec>,
 }
 
-/// Who a node is.
+/// The identity of a node.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Node {
-    /// Where peers reach it, by TCP and UDP. The port above it takes long
-    /// control messages.
+    /// The address at which peers reach it, by TCP and UDP. The next port
+    /// receives control messages that are too long for a datagram.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: Zone,
-    /// Whether it refuses for load, or only observes.
+    /// Whether it sheds load or only observes.
     #[serde(default)]
     pub mode: Mode,
 }
 
-/// Where a node listens.
+/// A listening socket.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listener {
@@ -155,34 +156,34 @@
     }
 }
 
-/// Which platform.
+/// The platform that stores the configuration.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(tag = "kind", rename_all = "lowercase", deny_unknown_fields)]
 pub enum Platform {
-    /// One inside this process, gone with it: the embedded default.
+    /// A store in the memory of this process, lost when it ends.
     #[default]
     Memory,
-    /// An object API over HTTP.
+    /// The platform's object API over HTTP.
     Http {
-        /// Where, as in `http://10.0.0.9:8080`.
+        /// The base URL, as in `http://10.0.0.9:8080`.
         url: String,
     },
 }
 
-/// The backend server beside a node.
+/// The backend server of a node.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
     /// The service that it offers.
     pub service: Service,
-    /// Where it listens; left out, a built-in one answers with an echo.
+    /// Its address. Without one the node starts a built-in echo server.
     #[serde(default)]
     pub address: Option<SocketAddr>,
-    /// How many calls it runs at a time.
+    /// The number of calls that it runs concurrently.
     pub slots: u32,
-    /// How many connections it accepts.
+    /// The number of connections that it accepts.
     pub connections: u32,
-    /// How long its cold start takes.
+    /// The duration of its cold start.
     #[serde(default = "Server::warmup")]
     pub warmup: Span,
 }
@@ -192,7 +193,7 @@
         Span(Millis(0))
     }
 
-    /// What the server says of itself.
+    /// The announcement that the server would make itself.
     pub fn announcement(&self) -> server::Announcement {
         server::Announcement {
             service: self.service.clone(),
@@ -203,31 +204,31 @@
     }
 }
 
-/// Bounds of one node.
+/// Bounds on the memory and time that a node uses.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Retries of one whole request.
+    /// Retries of one request, over all calls made for it.
     pub retries: u8,
-    /// Calls in the node at a time.
+    /// Calls in flight.
     pub calls: usize,
-    /// Tickets remembered as owner.
+    /// Tickets that the node keeps as their owner.
     pub tickets: usize,
-    /// Marks and tombstones kept as witness.
+    /// Marks and tombstones that the node keeps as a witness.
     pub marks: usize,
-    /// Messages in each ring.
+    /// Messages in each ring buffer between threads.
     pub ring: usize,
-    /// Bytes of one body.
+    /// The size of one body.
     pub body: Size,
-    /// Bytes of one kept answer.
+    /// The size of one answer that is cached for repeated calls.
     pub kept_answer: Size,
-    /// The longest time that a caller may ask for.
+    /// The longest deadline that a caller may request.
     pub deadline: Span,
-    /// How long a ticket is honoured.
+    /// How long a ticket is valid.
     pub ticket: Span,
-    /// How long a call waits in the queue.
+    /// How long a call may wait in the queue.
     pub patience: Span,
-    /// How long a canceled call still counts.
+    /// How long a canceled call still counts as in flight.
     pub linger: Span,
 }
 
@@ -249,11 +250,11 @@
     }
 }
 
-/// Logs.
+/// Settings of the log.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
-    /// The least level that is written.
+    /// The most verbose level that is written.
     pub level: Level,
 }
 
@@ -263,7 +264,7 @@
     }
 }
 
-/// A level of the log.
+/// A log level.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 #[allow(missing_docs)]
@@ -287,27 +288,27 @@
     }
 }
 
-/// A class as settings and operators write it.
+/// A class, as written in settings.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Seed {
-    /// Its name.
+pub struct ClassSpec {
+    /// The name of the class.
     pub name: walnutmoor_core::id::Class,
-    /// What sort of work it is.
+    /// The kind of its requests.
     pub kind: walnutmoor_core::class::Kind,
-    /// The share to complete, as in `99.5%`.
+    /// The share of requests to complete, as in `99.5%`.
     pub share: walnutmoor_core::class::Share,
-    /// Within how long, as in `2s`.
+    /// The time to complete them in, as in `2s`.
     pub within: Span,
 }
 
-impl From<Seed> for Class {
-    fn from(seed: Seed) -> Class {
+impl From<ClassSpec> for Class {
+    fn from(spec: ClassSpec) -> Class {
         let target = walnutmoor_core::class::Target {
-            share: seed.share,
-            within: seed.within.0,
+            share: spec.share,
+            within: spec.within.0,
         };
-        Class { name: seed.name, kind: seed.kind, target }
+        Class { name: spec.name, kind: spec.kind, target }
     }
 }
 
@@ -321,7 +322,7 @@
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path)
             .map_err(|cause| Failure::File { path: name.clone(), cause })?;
-        Settings::named(&name, &text)
+        Settings::parse_named(&name, &text)
     }
 
     /// Reads settings from text.
@@ -329,32 +330,33 @@
     /// # Errors
     ///
     /// If the YAML is malformed, a key is unknown, or a value is out of
-    /// bounds; the error names the place.
+    /// bounds; the error shows the position.
     pub fn parse(text: &str) -> Result<Settings, Failure> {
-        Settings::named("settings", text)
+        Settings::parse_named("settings", text)
     }
 
-    fn named(name: &str, text: &str) -> Result<Settings, Failure> {
-        let settings: Settings = yaml(name, text)?;
-        match settings.check() {
+    /// Parses the text of a file with this name, and validates it.
+    fn parse_named(name: &str, text: &str) -> Result<Settings, Failure> {
+        let settings: Settings = parse_yaml(name, text)?;
+        match settings.validate() {
             Ok(()) => Ok(settings),
-            Err(broken) => {
-                let at = text.find(broken.key).unwrap_or(0);
-                Err(wrong(name, text, broken.message, Some(at)))
+            Err(violation) => {
+                let at = text.find(violation.key).unwrap_or(0);
+                Err(settings_error(name, text, violation.message, Some(at)))
             }
         }
     }
 
-    /// Checks what single values cannot tell.
-    fn check(&self) -> Result<(), Broken> {
+    /// Checks ranges, and rules that involve several values.
+    fn validate(&self) -> Result<(), Violation> {
         let limits = &self.limits;
-        let seeds = !self.classes.is_empty();
-        let ports = [self.caller.address, self.operator.address];
+        let has_classes = !self.classes.is_empty();
+        let listeners = [self.caller.address, self.operator.address];
         let own = self.node.address;
         let next = SocketAddr::new(own.ip(), own.port().wrapping_add(1));
-        let clash = ports.contains(&own)
-            || ports.contains(&next)
-            || ports[0] == ports[1];
+        let conflict = listeners.contains(&own)
+            || listeners.contains(&next)
+            || listeners[0] == listeners[1];
         let rules = [
             (
                 own.port() == u16::MAX,
@@ -367,7 +369,7 @@
                 "node.address must be the IP that peers use",
             ),
             (
-                clash,
+                conflict,
                 "address",
                 "two listeners share an address (node.address also takes the port above it)",
             ),
@@ -399,21 +401,22 @@
                 "server.connections must be at least 1",
             ),
             (
-                seeds && !matches!(self.platform, Platform::Memory),
+                has_classes && !matches!(self.platform, Platform::Memory),
                 "classes",
                 "classes in settings are for the in-memory platform only; use `walnutmoor class set`",
             ),
         ];
-        match rules.into_iter().find(|(broken, ..)| *broken) {
+        match rules.into_iter().find(|(violated, ..)| *violated) {
             None => Ok(()),
             Some((_, key, message)) => {
-                Err(Broken { key, message: message.to_string() })
+                Err(Violation { key, message: message.to_string() })
             }
         }
     }
 
-    /// The settings of the core, with the given seed and first version.
-    pub fn core(
+    /// The configuration of [`walnutmoor_core::node::Node`], with the seed of
+    /// its randomness and the version of its first membership record.
+    pub fn core_config(
         &self,
         seed: u64,
         version: u64,
@@ -436,13 +439,14 @@
     }
 }
 
-struct Broken {
+/// A rule that the settings violate, and the key to point at.
+struct Violation {
     key: &'static str,
     message: String,
 }
 
-/// Reads YAML; an error shows the line.
-pub(crate) fn yaml<T: DeserializeOwned>(
+/// Decodes YAML; an error shows its position in the text.
+pub(crate) fn parse_yaml<T: DeserializeOwned>(
     name: &str,
     text: &str,
 ) -> Result<T, Failure> {
@@ -451,11 +455,11 @@
             let (line, column) = (l.line(), l.column());
             offset(text, line as usize, column as usize)
         });
-        wrong(name, text, plain(&error.to_string()), at)
+        settings_error(name, text, first_line(&error.to_string()), at)
     })
 }
 
-fn wrong(
+fn settings_error(
     name: &str,
     text: &str,
     message: String,
@@ -466,11 +470,13 @@
     Failure::Settings { message, source_code: Arc::new(source_code), span }
 }
 
-/// The first line of a message: the parser draws its own picture below it.
-fn plain(message: &str) -> String {
+/// The first line of a message. The parser's own excerpt of the source follows
+/// it, which [`Failure::Settings`] replaces.
+fn first_line(message: &str) -> String {
     message.lines().next().unwrap_or(message).to_string()
 }
 
+/// The byte offset of a line and a column, both counted from 1.
 fn offset(text: &str, line: usize, column: usize) -> usize {
     let before = text.split_inclusive('\n').take(line.saturating_sub(1));
     let start: usize = before.map(str::len).sum();
--- a/crates/walnutmoor/tests/mesh/fixture.rs
+++ b/crates/walnutmoor/tests/mesh/fixture.rs
@@ -135,7 +135,7 @@
 
     pub async fn is_ready(&self, index: usize) -> bool {
         let at = self.pairs[index].node.addresses().ready;
-        let path = walnutmoor_platform::heartbeat::READY;
+        let path = walnutmoor_platform::heartbeat::READY_PATH;
         let sent = caller::send(at, Method::GET, path, &[], String::new());
         sent.await.is_some_and(|answer| answer.status == 200)
     }
