--- a/crates/walnutmoor-standin/src/measure/restore.rs
+++ b/crates/walnutmoor-standin/src/measure/restore.rs
@@ -24,7 +24,7 @@
 use crate::mesh::{
     caller,
     node::{Addresses, Node, Setup},
-    store::{Fate, Store},
+    store::{PendingWatches, Store},
 };
 
 /// Versions before the restore; the last three are lost.
@@ -78,7 +78,7 @@
     }
     store.set_down(true);
     sleep(AWAY).await;
-    store.restore(&copy, Fate::Cut);
+    store.restore(&copy, PendingWatches::Disconnect);
     let before = store.calls();
     store.set_down(false);
     let back = Instant::now();
@@ -152,7 +152,7 @@
         zone: ["a", "b", "c"][index % 3].to_string(),
         service: "desk".to_string(),
         store: store.address(),
-        addresses: Addresses::draw(),
+        addresses: Addresses::allocate(),
         server: None,
         descriptors: 4_096,
         bounds: vec![("grace".into(), "6s".into())],
--- a/crates/walnutmoor-standin/src/mesh/caller.rs
+++ b/crates/walnutmoor-standin/src/mesh/caller.rs
@@ -1,6 +1,6 @@
 /*!
-A caller that opens a connection for each request, and the reading of plain
-HTTP that it shares with the instance.
+A minimal HTTP/1.1 client, and the message parser that it shares with the
+instance.
 */
 
 use std::{net::SocketAddr, time::Duration};
@@ -11,7 +11,7 @@
     net::TcpStream,
 };
 
-/// A request as it was read.
+/// A request read from a connection.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Path and query.
@@ -22,10 +22,10 @@
     pub body: String,
 }
 
-/// An answer as it was read.
+/// A response read from a connection.
 #[derive(Clone, Debug)]
-pub struct Answer {
-    /// The status.
+pub struct Response {
+    /// The status code.
     pub status: u16,
     /// The headers.
     pub headers: HeaderMap,
@@ -33,22 +33,23 @@
     pub body: String,
 }
 
-/// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// The time limit for one exchange on a new connection.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Sends a request; `None` if the connection ends without a whole answer.
+/// Sends a request on a new connection. `None` if no complete response
+/// arrives.
 pub async fn send(
-    to: SocketAddr,
+    address: SocketAddr,
     method: Method,
     path: &str,
     headers: &[(HeaderName, String)],
     body: String,
-) -> Option<Answer> {
-    raw(to, &text(method, path, headers, &body)).await
+) -> Option<Response> {
+    send_raw(address, &format_request(method, path, headers, &body)).await
 }
 
-/// The bytes of a request.
-pub fn text(
+/// Formats a request, with a `host` header if there is none.
+pub fn format_request(
     method: Method,
     path: &str,
     headers: &[(HeaderName, String)],
@@ -65,94 +66,100 @@
     text
 }
 
-/// A connection that a caller keeps for many requests.
+/// A persistent connection.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
-    bytes: Vec<u8>,
-    closes: bool,
+    buffer: Vec<u8>,
+    is_closing: bool,
 }
 
 impl Connection {
-    /// Opens one; `None` if nobody accepts it.
-    pub async fn open(to: SocketAddr) -> Option<Connection> {
-        let stream = TcpStream::connect(to).await.ok()?;
-        Some(Connection { stream, bytes: Vec::new(), closes: false })
+    /// Connects to an address. `None` if that fails.
+    pub async fn open(address: SocketAddr) -> Option<Connection> {
+        let stream = TcpStream::connect(address).await.ok()?;
+        Some(Connection { stream, buffer: Vec::new(), is_closing: false })
     }
 
-    /// True if the other side has said that it takes no more on it.
-    pub fn closes(&self) -> bool {
-        self.closes
+    /// True if the last response had `connection: close`.
+    pub fn is_closing(&self) -> bool {
+        self.is_closing
     }
 
-    /// Sends a request; `None` if there is no whole answer to it.
+    /// Sends a request. `None` if no complete response arrives.
     pub async fn send(
         &mut self,
         method: Method,
         path: &str,
         headers: &[(HeaderName, String)],
         body: &str,
-    ) -> Option<Answer> {
-        self.write(&text(method, path, headers, body)).await?;
+    ) -> Option<Response> {
+        self.write(&format_request(method, path, headers, body)).await?;
         self.read().await
     }
 
-    /// Sends bytes as they are; `None` if the connection is closed.
+    /// Writes text unchanged. `None` if the connection is closed.
     pub async fn write(&mut self, text: &str) -> Option<()> {
         self.stream.write_all(text.as_bytes()).await.ok()
     }
 
-    /// Reads the next answer; `None` if there is no whole one.
-    pub async fn read(&mut self) -> Option<Answer> {
-        let whole = read(&mut self.stream, &mut self.bytes).await;
-        let (first, headers, body) = whole?;
+    /// Reads the next response. `None` if it is incomplete.
+    pub async fn read(&mut self) -> Option<Response> {
+        let message = read_message(&mut self.stream, &mut self.buffer).await;
+        let (first, headers, body) = message?;
         let status = first.split(' ').nth(1)?.parse().ok()?;
-        let said = headers.get(http::header::CONNECTION);
-        self.closes = said.is_some_and(|said| said == "close");
-        Some(Answer { status, headers, body })
+        let connection = headers.get(http::header::CONNECTION);
+        self.is_closing = connection.is_some_and(|value| value == "close");
+        Some(Response { status, headers, body })
     }
 }
 
-/// Sends bytes as they are and reads one answer.
-pub async fn raw(to: SocketAddr, text: &str) -> Option<Answer> {
-    hold(to, text).await.map(|(answer, _)| answer)
+/// Sends text unchanged on a new connection and reads one response.
+pub async fn send_raw(address: SocketAddr, text: &str) -> Option<Response> {
+    send_keep_alive(address, text).await.map(|(response, _)| response)
 }
 
-/// The same, and keeps the connection.
-pub async fn hold(to: SocketAddr, text: &str) -> Option<(Answer, TcpStream)> {
+/// Like [`send_raw`], but also returns the connection, still open.
+pub async fn send_keep_alive(
+    address: SocketAddr,
+    text: &str,
+) -> Option<(Response, TcpStream)> {
     let exchange = async {
-        let mut stream = TcpStream::connect(to).await.ok()?;
+        let mut stream = TcpStream::connect(address).await.ok()?;
         stream.write_all(text.as_bytes()).await.ok()?;
-        let mut bytes = Vec::new();
-        let (first, headers, body) = read(&mut stream, &mut bytes).await?;
+        let mut buffer = Vec::new();
+        let (first, headers, body) =
+            read_message(&mut stream, &mut buffer).await?;
         let status = first.split(' ').nth(1)?.parse().ok()?;
-        Some((Answer { status, headers, body }, stream))
+        Some((Response { status, headers, body }, stream))
     };
-    tokio::time::timeout(PATIENCE, exchange).await.ok()?
+    tokio::time::timeout(RESPONSE_TIMEOUT, exchange).await.ok()?
 }
 
-/// Reads a request; `None` at the end of the connection.
+/// Reads the next request. `None` if the connection ends first or the request
+/// is malformed.
 pub async fn read_request(
     stream: &mut TcpStream,
-    bytes: &mut Vec<u8>,
+    buffer: &mut Vec<u8>,
 ) -> Option<Request> {
-    let (first, headers, body) = read(stream, bytes).await?;
+    let (first, headers, body) = read_message(stream, buffer).await?;
     let path = first.split(' ').nth(1)?.to_string();
     Some(Request { path, headers, body })
 }
 
-async fn read(
+/// Reads one message: its first line, its headers and its body.
+async fn read_message(
     stream: &mut TcpStream,
-    bytes: &mut Vec<u8>,
+    buffer: &mut Vec<u8>,
 ) -> Option<(String, HeaderMap, String)> {
     let end = loop {
-        let found = bytes.windows(4).position(|w| w == b"\r\n\r\n");
-        if let Some(at) = found {
+        let head_end = buffer.windows(4).position(|w| w == b"\r\n\r\n");
+        if let Some(at) = head_end {
             break at + 4;
         }
-        fill(stream, bytes).await?;
+        fill(stream, buffer).await?;
     };
-    let head: Vec<u8> = bytes.drain(..end).collect();
+    let head: Vec<u8> = buffer.drain(..end).collect();
     let head = String::from_utf8(head).ok()?;
     let mut lines = head.lines();
     let first = lines.next()?.to_string();
@@ -168,14 +175,15 @@
     let length = headers.get(http::header::CONTENT_LENGTH);
     let length = length.and_then(|v| v.to_str().ok()?.parse().ok());
     let length: usize = length.unwrap_or(0);
-    while bytes.len() < length {
-        fill(stream, bytes).await?;
+    while buffer.len() < length {
+        fill(stream, buffer).await?;
     }
-    let body: Vec<u8> = bytes.drain(..length).collect();
+    let body: Vec<u8> = buffer.drain(..length).collect();
     Some((first, headers, String::from_utf8(body).ok()?))
 }
 
-async fn fill(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> Option<()> {
-    let read = stream.read_buf(bytes).await.ok()?;
+/// Reads more bytes into the buffer. `None` at the end of the stream.
+async fn fill(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<()> {
+    let read = stream.read_buf(buffer).await.ok()?;
     (read > 0).then_some(())
 }
--- a/crates/walnutmoor-standin/src/mesh/instance.rs
+++ b/crates/walnutmoor-standin/src/mesh/instance.rs
@@ -1,7 +1,8 @@
 /*!
-An instance of a service: slots, heartbeats, and ways to fail. It speaks raw
-HTTP over a socket, since most of its failures are none that a library would
-write.
+An instance of a service, with slots, heartbeats and failure modes.
+
+It writes HTTP to the socket directly, because HTTP libraries can't produce
+most of its malformed responses.
 */
 
 use std::{
@@ -32,47 +33,48 @@
 
 mod fault;
 
-/// How an instance treats the requests that it gets.
+/// How an instance handles requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Mood {
-    /// It runs and answers them.
-    Well,
-    /// It runs them, and the connection breaks before the answer.
-    LosesAnswers,
-    /// It turns them away, not run.
+pub enum Behavior {
+    /// Runs requests and responds to them.
+    Healthy,
+    /// Runs requests and closes the connection before the response.
+    DropsResponses,
+    /// Rejects requests with 503, marked as not run.
     Sheds,
-    /// It runs them and fails.
+    /// Runs requests and responds with 500.
     Fails,
-    /// It answers, and a moment later answers once more.
-    AnswersTwice,
-    /// It answers with half of the body that it has promised.
-    CutsAnswers,
-    /// It answers without a signature.
-    Forges,
-    /// It runs them and never answers.
-    Silent,
-    /// It has forgotten connections that were idle: what comes on them is
-    /// reset, not run.
-    Forgets,
+    /// Sends a second, unsolicited response shortly after the first.
+    RespondsTwice,
+    /// Sends half of the announced body and closes the connection.
+    TruncatesResponses,
+    /// Responds without a signature.
+    OmitsSignature,
+    /// Runs requests and never responds.
+    NeverResponds,
+    /// Closes a connection that was idle when the next request arrives on
+    /// it; that request is not run.
+    ResetsIdle,
 }
 
-/// An instance.
+/// An instance of a service. Dropping it doesn't stop its tasks; see
+/// [`Instance::stop`].
 #[derive(Debug)]
 pub struct Instance {
-    life: Mutex<Lifetime>,
+    lifetime: Mutex<Lifetime>,
     service: Service,
     slots: u32,
     address: SocketAddr,
     control: SocketAddr,
-    mood: Mutex<Mood>,
-    time: AtomicU64,
+    behavior: Mutex<Behavior>,
+    run_ms: AtomicU64,
     held: Mutex<BTreeSet<String>>,
     sequence: AtomicU64,
     draining: AtomicBool,
-    silent: AtomicBool,
+    heartbeats_stopped: AtomicBool,
     runs: Mutex<BTreeMap<String, u32>>,
     arrivals: Mutex<Vec<Arrival>>,
-    cut: AtomicU64,
+    aborted_runs: AtomicU64,
     callers: Mutex<Vec<String>>,
     accounts: Mutex<Vec<Vec<String>>>,
     has_seen_key: AtomicBool,
@@ -83,36 +85,37 @@
 /// A request that reached an instance.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The id of the attempt.
+    /// The id of the attempt, or empty.
     pub id: String,
-    /// The body.
+    /// The request body.
     pub body: String,
     /// The instance's service.
     pub service: Service,
-    /// When it came.
+    /// When it arrived.
     pub at: Instant,
-    /// True if it ran.
+    /// False if the instance rejected it.
     pub ran: bool,
 }
 
-/// The pause between heartbeats.
-const HEARTBEAT: Duration = Duration::from_millis(200);
+/// The interval between heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The pause between looks at whether a held run was released.
-const LOOK: Duration = Duration::from_millis(5);
+/// The interval between checks for a released run or a free address.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How often an address is tried that is taken; with [`LOOK`] between, 10 s.
-const BIND_TRIES: u32 = 2_000;
+/// Retries to bind an address in use, [`POLL_INTERVAL`] apart.
+const MAX_BIND_RETRIES: u32 = 2_000;
 
-/// How soon an instance forgets an idle connection, if it does.
-const FORGETS_AFTER: Duration = Duration::from_millis(600);
+/// The idle time after which [`Behavior::ResetsIdle`] closes a connection.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Instance {
-    /// Starts one at an address, beside the node whose control is there.
+    /// Starts an instance that listens on `address` and sends heartbeats to
+    /// its node's `control` address.
     ///
     /// # Panics
     ///
-    /// If the address is taken.
+    /// If the address stays in use.
     pub async fn start(
         id: &str,
         service: &str,
@@ -121,7 +124,7 @@
     ) -> Arc<Instance> {
         let listener = listen(address).await;
         let instance = Arc::new(Instance {
-            life: Mutex::new(Lifetime::new(
+            lifetime: Mutex::new(Lifetime::new(
                 id,
                 Some(StartTime(unix_millis())),
             )),
@@ -129,56 +132,58 @@
             slots: 8,
             address,
             control,
-            mood: Mutex::new(Mood::Well),
-            time: AtomicU64::new(5),
+            behavior: Mutex::new(Behavior::Healthy),
+            run_ms: AtomicU64::new(5),
             held: Mutex::default(),
             sequence: AtomicU64::new(0),
             draining: AtomicBool::new(false),
-            silent: AtomicBool::new(false),
+            heartbeats_stopped: AtomicBool::new(false),
             runs: Mutex::default(),
             arrivals: Mutex::default(),
-            cut: AtomicU64::new(0),
+            aborted_runs: AtomicU64::new(0),
             callers: Mutex::default(),
             accounts: Mutex::default(),
             has_seen_key: AtomicBool::new(false),
             tasks: Mutex::default(),
             fault: Fault::default(),
         });
-        instance.clone().open(listener);
+        instance.clone().spawn_tasks(listener);
         instance
     }
 
-    /// Takes requests and sends heartbeats from now on.
-    fn open(self: Arc<Instance>, listener: TcpListener) {
+    /// Starts to accept connections and to send heartbeats.
+    fn spawn_tasks(self: Arc<Instance>, listener: TcpListener) {
         let accept = tokio::spawn(accept(self.clone(), listener));
-        let beat = tokio::spawn(beat(self.clone()));
-        self.keep([accept.abort_handle(), beat.abort_handle()]);
+        let heartbeats = tokio::spawn(send_heartbeats(self.clone()));
+        self.track_tasks([accept.abort_handle(), heartbeats.abort_handle()]);
     }
 
-    fn keep(&self, tasks: impl IntoIterator<Item = AbortHandle>) {
-        let mut kept = self.tasks.lock().expect("no holder panics");
-        kept.retain(|task| !task.is_finished());
-        kept.extend(tasks);
+    /// Adds tasks to those that [`Instance::abort_tasks`] aborts.
+    fn track_tasks(&self, tasks: impl IntoIterator<Item = AbortHandle>) {
+        let mut tracked = self.tasks.lock().expect("no holder panics");
+        tracked.retain(|task| !task.is_finished());
+        tracked.extend(tasks);
     }
 
-    /// Ends it at once: what it runs is lost, and its address is free.
+    /// Stops the instance at once, aborts its runs and frees its address.
     pub fn stop(&self) {
-        self.fault.end();
-        self.halt();
+        self.fault.disable_restart();
+        self.abort_tasks();
     }
 
-    fn halt(&self) {
+    fn abort_tasks(&self) {
         for task in self.tasks.lock().expect("no holder panics").drain(..) {
             task.abort();
         }
     }
 
-    /// Every request that reached it, in order.
+    /// All requests that reached it, in order of arrival.
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.arrivals.lock().expect("no holder panics").clone()
     }
 
-    fn arrive(&self, request: &caller::Request, ran: bool) {
+    /// Records a request that arrived.
+    fn record_arrival(&self, request: &caller::Request, ran: bool) {
         let id = header::attempt(&request.headers).unwrap_or_default();
         let arrival = Arrival {
             id: id.to_string(),
@@ -191,37 +196,37 @@
         arrivals.push(arrival);
     }
 
-    /// This start of it.
+    /// Its current lifetime.
     pub fn lifetime(&self) -> Lifetime {
-        self.life.lock().expect("no holder panics").clone()
+        self.lifetime.lock().expect("no holder panics").clone()
     }
 
     fn id(&self) -> String {
         self.lifetime().id
     }
 
-    /// What it offers.
+    /// The name of its service.
     pub fn service(&self) -> String {
         self.service.to_string()
     }
 
-    /// Changes how it treats requests.
-    pub fn set_mood(&self, mood: Mood) {
-        *self.mood.lock().expect("no holder panics") = mood;
+    /// Sets how it handles requests.
+    pub fn set_behavior(&self, behavior: Behavior) {
+        *self.behavior.lock().expect("no holder panics") = behavior;
     }
 
-    /// Changes how long it takes for a request.
-    pub fn set_time(&self, time: Duration) {
-        self.time.store(time.as_millis() as u64, Ordering::Relaxed);
+    /// Sets how long a run takes.
+    pub fn set_run_time(&self, time: Duration) {
+        self.run_ms.store(time.as_millis() as u64, Ordering::Relaxed);
     }
 
-    /// Lets the run of a request last until it is released.
+    /// Delays the end of an attempt's run until [`Instance::release`].
     pub fn hold(&self, attempt: &str) {
         let mut held = self.held.lock().expect("no holder panics");
         held.insert(attempt.to_string());
     }
 
-    /// Ends a run that was held.
+    /// Lets a held run end.
     pub fn release(&self, attempt: &str) {
         let mut held = self.held.lock().expect("no holder panics");
         held.remove(attempt);
@@ -232,61 +237,63 @@
         held.contains(attempt)
     }
 
-    /// Takes the time that a run takes.
-    async fn work(&self, attempt: &str) {
-        let time = self.time.load(Ordering::Relaxed);
-        tokio::time::sleep(Duration::from_millis(time)).await;
+    /// Waits for the duration of a run.
+    async fn simulate_work(&self, attempt: &str) {
+        let run_ms = self.run_ms.load(Ordering::Relaxed);
+        tokio::time::sleep(Duration::from_millis(run_ms)).await;
         while self.is_held(attempt) {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Says from now on that it is leaving, and finishes what it has.
+    /// Reports itself as not ready from now on, and finishes its runs. Returns
+    /// the status of the first such report, or 0 if none came back.
     pub async fn drain(&self) -> u16 {
         self.draining.store(true, Ordering::Relaxed);
-        self.report().await
+        self.send_heartbeat().await
     }
 
-    /// Sends no heartbeats any more.
-    pub fn hush(&self) {
-        self.silent.store(true, Ordering::Relaxed);
+    /// Stops sending heartbeats.
+    pub fn stop_heartbeats(&self) {
+        self.heartbeats_stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Says goodbye without having said that it leaves.
-    pub async fn leave(&self) -> u16 {
-        self.silent.store(true, Ordering::Relaxed);
+    /// Stops heartbeats and sends a goodbye. Returns the response status, or
+    /// 0 if there was none.
+    pub async fn send_goodbye(&self) -> u16 {
+        self.heartbeats_stopped.store(true, Ordering::Relaxed);
         let (method, path, body) = standin::goodbye(&self.lifetime());
         let sent = caller::send(self.control, method, &path, &[], body);
-        sent.await.map_or(0, |answer| answer.status)
+        sent.await.map_or(0, |response| response.status)
     }
 
-    /// How often a request ran.
+    /// How many times an attempt ran.
     pub fn runs(&self, attempt: &str) -> u32 {
         let runs = self.runs.lock().expect("no holder panics");
         runs.get(attempt).copied().unwrap_or(0)
     }
 
-    /// Requests that ran.
-    pub fn total(&self) -> u32 {
+    /// The number of runs of all attempts.
+    pub fn total_runs(&self) -> u32 {
         self.runs.lock().expect("no holder panics").values().sum()
     }
 
-    /// Runs whose connection was closed before they ended.
-    pub fn cut(&self) -> u64 {
-        self.cut.load(Ordering::Relaxed)
+    /// The number of runs whose connection was closed before they ended.
+    pub fn aborted_runs(&self) -> u64 {
+        self.aborted_runs.load(Ordering::Relaxed)
     }
 
-    /// The accounts that each request which it ran was said to be from.
+    /// The account headers of each request that ran.
     pub fn accounts(&self) -> Vec<Vec<String>> {
         self.accounts.lock().expect("no holder panics").clone()
     }
 
-    /// True if a caller's key ever came to it.
+    /// True if any request that ran contained a client account's key.
     pub fn has_seen_key(&self) -> bool {
         self.has_seen_key.load(Ordering::Relaxed)
     }
 
-    fn note_account(&self, headers: &HeaderMap) {
+    fn record_account(&self, headers: &HeaderMap) {
         let all = headers.get_all(header::ACCOUNT).iter();
         let text = |value: &http::HeaderValue| {
             String::from_utf8_lossy(value.as_bytes()).into_owned()
@@ -298,12 +305,14 @@
         }
     }
 
-    /// The services beside which its requests began.
+    /// The caller header of each request that ran, or empty strings.
     pub fn callers(&self) -> Vec<String> {
         self.callers.lock().expect("no holder panics").clone()
     }
 
-    async fn report(&self) -> u16 {
+    /// Sends one heartbeat. Returns the response status, or 0 if there was
+    /// none.
+    async fn send_heartbeat(&self) -> u16 {
         let sequence = self.sequence.fetch_add(1, Ordering::Relaxed);
         let report = Report {
             lifetime: self.lifetime(),
@@ -311,20 +320,22 @@
             sequence,
             ready: !self.draining.load(Ordering::Relaxed),
         };
-        self.say(&report).await
+        self.send_report(&report).await
     }
 
-    /// Sends a report of any lifetime, as if it had been held up on the way.
-    pub async fn say(&self, report: &Report) -> u16 {
+    /// Sends an arbitrary report, for example one of a previous lifetime.
+    /// Returns the response status, or 0 if there was none.
+    pub async fn send_report(&self, report: &Report) -> u16 {
         let address = self.address.to_string();
         let (method, path, body) =
             standin::report(report, &self.service, &address);
         let sent = caller::send(self.control, method, &path, &[], body);
-        sent.await.map_or(0, |answer| answer.status)
+        sent.await.map_or(0, |response| response.status)
     }
 
-    fn note(&self, request: &caller::Request) {
-        self.arrive(request, true);
+    /// Records a request that runs.
+    fn record_run(&self, request: &caller::Request) {
+        self.record_arrival(request, true);
         let id = header::attempt(&request.headers).unwrap_or_default();
         let mut runs = self.runs.lock().expect("no holder panics");
         *runs.entry(id.to_string()).or_default() += 1;
@@ -333,9 +344,10 @@
         let mut callers = self.callers.lock().expect("no holder panics");
         callers.push(from.to_string());
         drop(callers);
-        self.note_account(&request.headers);
+        self.record_account(&request.headers);
     }
 
+    /// True if the request is for a certain other instance.
     fn is_misdirected(&self, headers: &HeaderMap) -> bool {
         let only = headers.get(header::ONLY_INSTANCE);
         only.is_some_and(|only| only.as_bytes() != self.id().as_bytes())
@@ -343,150 +355,164 @@
 }
 
 fn unix_millis() -> u64 {
-    let since = std::time::UNIX_EPOCH.elapsed();
-    since.expect("a time after 1970").as_millis() as u64
+    let elapsed = std::time::UNIX_EPOCH.elapsed();
+    elapsed.expect("a time after 1970").as_millis() as u64
 }
 
-/// Listens at an address at which another instance may just have ended.
+/// Listens on an address, and retries while it is in use.
 ///
-/// The address may be taken for a moment: by the instance before, whose tasks
-/// end a little after they were told to. Fresh addresses were seen taken as
-/// well; a process that is being started may hold its parent's sockets until
-/// it runs its program, but no probe has shown that this was the cause.
+/// A stopped instance keeps its listener until its tasks have been aborted. A
+/// process that is being started may also hold its parent's sockets for a
+/// moment.
 async fn listen(address: SocketAddr) -> TcpListener {
-    let mut tries = 0;
+    let mut retries = 0;
     loop {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.set_reuseaddr(true).expect("a socket option");
         match socket.bind(address) {
             Ok(()) => return socket.listen(1_024).expect("a listener"),
-            Err(e) if tries == BIND_TRIES => panic!("{address}: {e}"),
-            Err(_) => tokio::time::sleep(LOOK).await,
+            Err(e) if retries == MAX_BIND_RETRIES => panic!("{address}: {e}"),
+            Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
         }
-        tries += 1;
+        retries += 1;
     }
 }
 
-async fn beat(instance: Arc<Instance>) {
-    while !instance.silent.load(Ordering::Relaxed) {
-        instance.report().await;
-        tokio::time::sleep(HEARTBEAT).await;
+async fn send_heartbeats(instance: Arc<Instance>) {
+    while !instance.heartbeats_stopped.load(Ordering::Relaxed) {
+        instance.send_heartbeat().await;
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
 async fn accept(instance: Arc<Instance>, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         let task = tokio::spawn(serve(instance.clone(), stream));
-        instance.keep([task.abort_handle()]);
+        instance.track_tasks([task.abort_handle()]);
     }
 }
 
 async fn serve(instance: Arc<Instance>, mut stream: TcpStream) {
     let mut bytes = Vec::new();
-    let mut since = tokio::time::Instant::now();
+    let mut idle_since = tokio::time::Instant::now();
     while let Some(request) =
         caller::read_request(&mut stream, &mut bytes).await
     {
-        let mood = *instance.mood.lock().expect("no holder panics");
-        if mood == Mood::Forgets && since.elapsed() > FORGETS_AFTER {
+        let behavior = *instance.behavior.lock().expect("no holder panics");
+        if behavior == Behavior::ResetsIdle
+            && idle_since.elapsed() > IDLE_TIMEOUT
+        {
             return;
         }
-        if !answer(&instance, &mut stream, &request).await {
+        if !respond(&instance, &mut stream, &request).await {
             return;
         }
-        since = tokio::time::Instant::now();
+        idle_since = tokio::time::Instant::now();
     }
 }
 
-/// Answers a request; false if the connection ends with it.
-async fn answer(
+/// Responds to a request. False if the connection must be closed.
+async fn respond(
     instance: &Arc<Instance>,
     stream: &mut TcpStream,
     request: &caller::Request,
 ) -> bool {
     if request.path == "/health" {
-        return health(instance, stream).await;
+        return respond_health(instance, stream).await;
     }
     if instance.is_misdirected(&request.headers) {
-        return write(stream, "421 Misdirected Request", "", "").await;
-    }
-    let mood = *instance.mood.lock().expect("no holder panics");
-    if mood == Mood::Sheds {
-        instance.arrive(request, false);
-        let said = format!("{}: 1\r\n", header::NOT_RUN);
-        return write(stream, "503 Service Unavailable", &said, "").await;
+        return write_response(stream, "421 Misdirected Request", "", "")
+            .await;
+    }
+    let behavior = *instance.behavior.lock().expect("no holder panics");
+    if behavior == Behavior::Sheds {
+        instance.record_arrival(request, false);
+        let headers = format!("{}: 1\r\n", header::NOT_RUN);
+        return write_response(
+            stream,
+            "503 Service Unavailable",
+            &headers,
+            "",
+        )
+        .await;
     }
     if !run(instance, stream, request).await {
         return false;
     }
     let id = header::attempt(&request.headers).unwrap_or_default();
     let body = format!("{} {id} {}", instance.id(), request.body);
-    let own = format!("{}: {id}\r\n", header::ATTEMPT);
-    let signed = format!("{own}{}: s.{id}\r\n", header::SIGNATURE);
-    match mood {
-        Mood::LosesAnswers => false,
-        Mood::Silent => std::future::pending().await,
-        Mood::Fails => {
-            write(stream, "500 Internal Server Error", &signed, "no").await
+    let headers = format!("{}: {id}\r\n", header::ATTEMPT);
+    let signed = format!("{headers}{}: s.{id}\r\n", header::SIGNATURE);
+    match behavior {
+        Behavior::DropsResponses => false,
+        Behavior::NeverResponds => std::future::pending().await,
+        Behavior::Fails => {
+            write_response(stream, "500 Internal Server Error", &signed, "no")
+                .await
+        }
+        Behavior::OmitsSignature => {
+            write_response(stream, "200 OK", &headers, &body).await
         }
-        Mood::Forges => write(stream, "200 OK", &own, &body).await,
-        Mood::CutsAnswers => {
-            let half = format!(
+        Behavior::TruncatesResponses => {
+            let truncated = format!(
                 "HTTP/1.1 200 OK\r\n{signed}content-length: {}\r\n\r\n{body}",
                 body.len() * 2
             );
-            // The caller sees a short body, which is what is meant.
-            let _ = stream.write_all(half.as_bytes()).await;
+            // A failed write truncates the body too.
+            let _ = stream.write_all(truncated.as_bytes()).await;
             false
         }
-        Mood::AnswersTwice => {
-            let first = write(stream, "200 OK", &signed, &body).await;
+        Behavior::RespondsTwice => {
+            let first_sent =
+                write_response(stream, "200 OK", &signed, &body).await;
             tokio::time::sleep(Duration::from_millis(3)).await;
-            first && write(stream, "200 OK", &signed, "again").await
+            first_sent
+                && write_response(stream, "200 OK", &signed, "again").await
         }
-        Mood::Well | Mood::Sheds | Mood::Forgets => {
-            write(stream, "200 OK", &signed, &body).await
+        Behavior::Healthy | Behavior::Sheds | Behavior::ResetsIdle => {
+            write_response(stream, "200 OK", &signed, &body).await
         }
     }
 }
 
-/// Runs a request; false if its connection was closed meanwhile.
+/// Runs a request. False if the connection was closed meanwhile or the
+/// instance has crashed.
 async fn run(
     instance: &Arc<Instance>,
     stream: &mut TcpStream,
     request: &caller::Request,
 ) -> bool {
-    instance.note(request);
+    instance.record_run(request);
     let id = header::attempt(&request.headers).unwrap_or_default();
     let mut byte = [0];
     tokio::select! {
-        () = instance.work(id) => !instance.is_ended_by(request),
+        () = instance.simulate_work(id) => !instance.crash_if_fatal(request),
         read = stream.read(&mut byte) => {
-            // A caller sends nothing while its request runs, so this is the
-            // end of the connection.
+            // The node sends nothing while a request runs, so a read can
+            // only return end of stream or an error.
             debug_assert!(!matches!(read, Ok(n) if n > 0));
-            instance.cut.fetch_add(1, Ordering::Relaxed);
+            instance.aborted_runs.fetch_add(1, Ordering::Relaxed);
             false
         }
     }
 }
 
-async fn health(instance: &Instance, stream: &mut TcpStream) -> bool {
+async fn respond_health(instance: &Instance, stream: &mut TcpStream) -> bool {
     let status = match instance.draining.load(Ordering::Relaxed) {
         true => "503 Service Unavailable",
         false => "200 OK",
     };
-    let said = format!(
+    let headers = format!(
         "{}: {}\r\n{}: 0,0,{}\r\n",
         header::INSTANCE,
         instance.id(),
         header::LOAD,
         instance.slots
     );
-    write(stream, status, &said, "").await
+    write_response(stream, status, &headers, "").await
 }
 
-async fn write(
+async fn write_response(
     stream: &mut TcpStream,
     status: &str,
     headers: &str,
--- a/crates/walnutmoor-standin/src/mesh/instance/fault.rs
+++ b/crates/walnutmoor-standin/src/mesh/instance/fault.rs
@@ -1,6 +1,6 @@
 /*!
-A fault in an instance: some requests end its process. It is started again some
-time later as another lifetime that knows nothing of before.
+Crashes of an instance on certain requests. It restarts after a downtime, as a
+new lifetime.
 */
 
 use std::{
@@ -17,80 +17,81 @@
 
 use super::{Instance, caller, listen, unix_millis};
 
-/// What ends an instance, and when it did.
+/// The requests that crash an instance, and its crashes so far.
 #[derive(Debug, Default)]
 pub(super) struct Fault {
-    /// Bodies of the requests that end it.
+    /// Bodies of the requests that crash it.
     bodies: Mutex<BTreeSet<String>>,
-    /// How long it is away, in milliseconds.
-    down: AtomicU64,
+    /// Time from a crash to the restart, in milliseconds.
+    downtime_ms: AtomicU64,
     crashes: Mutex<Vec<Instant>>,
-    is_over: AtomicBool,
+    restart_disabled: AtomicBool,
 }
 
 impl Fault {
-    /// It does not start again.
-    pub(super) fn end(&self) {
-        self.is_over.store(true, Ordering::Relaxed);
+    /// Prevents any further restart.
+    pub(super) fn disable_restart(&self) {
+        self.restart_disabled.store(true, Ordering::Relaxed);
     }
 }
 
 impl Instance {
-    /// From now on a request with this body ends it, at the end of the time
-    /// that a run takes; it is back so much later.
-    pub fn set_fault(&self, body: &str, down: Duration) {
+    /// Makes the instance crash at the end of each run of a request with
+    /// this body, and restart after `downtime`.
+    pub fn crash_on(&self, body: &str, downtime: Duration) {
         let bodies = &self.fault.bodies;
         let mut bodies = bodies.lock().expect("no holder panics");
         bodies.insert(body.to_string());
-        let down = down.as_millis() as u64;
-        self.fault.down.store(down, Ordering::Relaxed);
+        let downtime = downtime.as_millis() as u64;
+        self.fault.downtime_ms.store(downtime, Ordering::Relaxed);
     }
 
-    /// When it has crashed.
+    /// The times of its crashes.
     pub fn crashes(&self) -> Vec<Instant> {
         let crashes = &self.fault.crashes;
         crashes.lock().expect("no holder panics").clone()
     }
 
-    /// True if the end of this run is the end of the instance.
-    pub(super) fn is_ended_by(
+    /// Crashes the instance if this request is fatal; true if it did.
+    pub(super) fn crash_if_fatal(
         self: &Arc<Instance>,
         request: &caller::Request,
     ) -> bool {
         let bodies = &self.fault.bodies;
         let bodies = bodies.lock().expect("no holder panics");
-        let is_ended = bodies.contains(&request.body);
-        if is_ended {
+        let is_fatal = bodies.contains(&request.body);
+        if is_fatal {
             self.clone().crash();
         }
-        is_ended
+        is_fatal
     }
 
-    /// Ends its process at once, without a word.
+    /// Stops the instance at once, without a goodbye, and restarts it after
+    /// its downtime.
     pub fn crash(self: Arc<Instance>) {
         let crashes = &self.fault.crashes;
         let now = Instant::now();
         crashes.lock().expect("no holder panics").push(now);
-        // The task that calls is among those that end here.
+        // A separate task, because the calling one is aborted too.
         tokio::spawn(async move {
-            self.halt();
-            let down = self.fault.down.load(Ordering::Relaxed);
-            tokio::time::sleep(Duration::from_millis(down)).await;
-            if !self.fault.is_over.load(Ordering::Relaxed) {
-                self.revive().await;
+            self.abort_tasks();
+            let downtime = self.fault.downtime_ms.load(Ordering::Relaxed);
+            tokio::time::sleep(Duration::from_millis(downtime)).await;
+            if !self.fault.restart_disabled.load(Ordering::Relaxed) {
+                self.restart().await;
             }
         });
     }
 
-    async fn revive(self: Arc<Instance>) {
+    async fn restart(self: Arc<Instance>) {
         let listener = listen(self.address).await;
-        let starts = self.crashes().len();
-        let first = self.id();
-        let first = first.split('.').next().unwrap_or_default();
-        let id = format!("{first}.{starts}");
-        let life = Lifetime::new(&id, Some(StartTime(unix_millis())));
-        *self.life.lock().expect("no holder panics") = life;
+        let restarts = self.crashes().len();
+        let base = self.id();
+        let base = base.split('.').next().unwrap_or_default();
+        let id = format!("{base}.{restarts}");
+        let lifetime = Lifetime::new(&id, Some(StartTime(unix_millis())));
+        *self.lifetime.lock().expect("no holder panics") = lifetime;
         self.sequence.store(0, Ordering::Relaxed);
-        self.open(listener);
+        self.spawn_tasks(listener);
     }
 }
--- a/crates/walnutmoor-standin/src/mesh/mod.rs
+++ b/crates/walnutmoor-standin/src/mesh/mod.rs
@@ -1,6 +1,6 @@
 /*!
-Stand-ins for a node of the mesh: the platform's store, an instance, a caller,
-and nodes as processes of their own.
+Stand-ins for what surrounds a node of the mesh (the platform's store,
+instances and callers), and nodes as child processes.
 */
 
 pub mod caller;
--- a/crates/walnutmoor-standin/src/mesh/node.rs
+++ b/crates/walnutmoor-standin/src/mesh/node.rs
@@ -1,8 +1,7 @@
 /*!
-Nodes of the mesh as processes of their own, on free ports of the loopback.
+Nodes of the mesh as child processes, on free loopback ports.
 
-A process is ended when its handle is dropped, and only by the id under which
-it was started.
+Dropping a handle kills its process.
 */
 
 use std::{
@@ -15,63 +14,64 @@
 
 use crate::child::{self, Ports};
 
-/// The addresses of a node.
+/// The addresses of a node and its instance.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// For links of other nodes.
+    /// Where other nodes connect.
     pub peers: SocketAddr,
-    /// For callers.
+    /// Where callers connect.
     pub callers: SocketAddr,
-    /// For the question whether callers may come.
+    /// The readiness endpoint.
     pub ready: SocketAddr,
-    /// For heartbeats.
+    /// Where the instance sends heartbeats.
     pub control: SocketAddr,
-    /// For metrics.
+    /// The metrics endpoint.
     pub metrics: SocketAddr,
     /// Where its instance listens.
     pub server: SocketAddr,
 }
 
 impl Addresses {
-    /// Free ones.
-    pub fn draw() -> Addresses {
-        let (a, b) = (Ports::draw(), Ports::draw());
+    /// Allocates free loopback addresses.
+    pub fn allocate() -> Addresses {
+        let (first, second) = (Ports::draw(), Ports::draw());
         let local = |port| SocketAddr::from(([127, 0, 0, 1], port));
         Addresses {
-            peers: local(a.node),
-            callers: local(a.caller),
-            ready: local(a.operator),
-            control: local(b.node),
-            metrics: local(b.caller),
-            server: local(b.operator),
+            peers: local(first.node),
+            callers: local(first.caller),
+            ready: local(first.operator),
+            control: local(second.node),
+            metrics: local(second.caller),
+            server: local(second.operator),
         }
     }
 }
 
-/// How to start a node.
+/// The program and settings of a node.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The program.
+    /// The path of the program.
     pub program: PathBuf,
-    /// Where other nodes reach it, if not at its own address.
+    /// The address that other nodes use, if not `addresses.peers`.
     pub advertise: Option<SocketAddr>,
-    /// Its zone.
+    /// Its availability zone.
     pub zone: String,
     /// The service of its instance.
     pub service: String,
-    /// The store.
+    /// The address of the store.
     pub store: SocketAddr,
     /// Its addresses.
     pub addresses: Addresses,
-    /// Where it reaches its instance, if not at the instance's own address.
+    /// The address at which it reaches its instance, if not
+    /// `addresses.server`.
     pub server: Option<SocketAddr>,
-    /// Files and sockets that it is told it may have.
+    /// The limit of file descriptors in its settings.
     pub descriptors: usize,
-    /// The platform's bounds, as name and text.
+    /// The platform's bounds, as names and values.
     pub bounds: Vec<(String, String)>,
 }
 
-/// A node that runs.
+/// A running node process.
 #[derive(Debug)]
 pub struct Node {
     child: Child,
@@ -82,18 +82,18 @@
 static SERIAL: AtomicU32 = AtomicU32::new(0);
 
 impl Node {
-    /// Starts a node.
+    /// Writes the settings file and starts the process.
     ///
     /// # Panics
     ///
-    /// If the process can't be started.
+    /// If the settings can't be written or the process can't be started.
     pub fn start(setup: &Setup) -> Node {
         let serial = SERIAL.fetch_add(1, Ordering::Relaxed);
         let name = format!("walnutmoor-mesh-{}-{serial}", std::process::id());
         let dir = std::env::temp_dir().join(name);
         fs::create_dir_all(&dir).expect("a folder for settings");
         let file = dir.join("node.yaml");
-        fs::write(&file, settings(setup)).expect("a settings file");
+        fs::write(&file, render_settings(setup)).expect("a settings file");
         let child = spawn(&setup.program, &file, &dir);
         Node { child, setup: setup.clone(), dir }
     }
@@ -103,37 +103,37 @@
         self.setup.addresses
     }
 
-    /// Ends it without a word and starts another life of it.
+    /// Kills the process and starts it again with the same settings.
     pub fn restart(&mut self) {
         self.kill();
         let file = self.dir.join("node.yaml");
         self.child = spawn(&self.setup.program, &file, &self.dir);
     }
 
-    /// Ends it at once, without a word.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Sends a signal by name, as in `STOP`, `CONT` or `TERM`.
+    /// Sends a signal by its name, such as `STOP`, `CONT` or `TERM`.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         let status = Command::new("kill").args(["-s", name, &pid]).status();
         debug_assert!(status.is_ok());
     }
 
-    /// True if the process is there no more.
-    pub fn has_ended(&mut self) -> bool {
+    /// True if the process has exited.
+    pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// True once it has ended by itself with success.
-    pub fn has_ended_well(&mut self) -> bool {
+    /// True if the process has exited with success.
+    pub fn has_succeeded(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(s)) if s.success())
     }
 
-    /// What it wrote to its log.
+    /// Its log so far; empty if the log can't be read.
     pub fn log(&self) -> String {
         fs::read_to_string(self.dir.join("log")).unwrap_or_default()
     }
@@ -162,8 +162,8 @@
     child::spawn(program).expect("the node starts")
 }
 
-fn settings(setup: &Setup) -> String {
-    let at = &setup.addresses;
+fn render_settings(setup: &Setup) -> String {
+    let addresses = &setup.addresses;
     let pair = |(name, value): &(String, String)| format!("{name}: '{value}'");
     let bounds: Vec<String> = setup.bounds.iter().map(pair).collect();
     format!(
@@ -172,16 +172,16 @@
          callers: '{}'\nready: '{}'\ncontrol: '{}'\nmetrics: '{}'\n\
          store: '{}'\nbounds: {{ {} }}\n\
          descriptors: {}\n",
-        at.peers,
-        at.peers,
-        setup.advertise.unwrap_or(at.peers),
+        addresses.peers,
+        addresses.peers,
+        setup.advertise.unwrap_or(addresses.peers),
         setup.zone,
         setup.service,
-        setup.server.unwrap_or(at.server),
-        at.callers,
-        at.ready,
-        at.control,
-        at.metrics,
+        setup.server.unwrap_or(addresses.server),
+        addresses.callers,
+        addresses.ready,
+        addresses.control,
+        addresses.metrics,
         setup.store,
         bounds.join(", "),
         setup.descriptors,
--- a/crates/walnutmoor-standin/src/mesh/store.rs
+++ b/crates/walnutmoor-standin/src/mesh/store.rs
@@ -1,9 +1,10 @@
 /*!
-The platform's metadata store: objects with revisions, watches, and outages.
+A stand-in for the platform's metadata store: objects with revisions, watches,
+and outages.
 
-It can be put back to an older copy of itself, as a restore from a backup
-does: what was acknowledged since is gone, revisions are given out again, and
-the era in its answers rises by one.
+It can be restored from a snapshot, as from a backup: later writes are lost,
+their revisions are assigned again, and the era in its responses increases by
+one.
 */
 
 use std::{
@@ -44,47 +45,47 @@
 #[derive(Clone, Debug, Default)]
 struct Data {
     revision: u64,
-    /// The oldest revision from which a watch can go on.
+    /// The oldest revision from which a watch can resume.
     oldest: u64,
     objects: BTreeMap<(u8, String), Entry>,
 }
 
-/// What a store held at one moment.
+/// The content of a store at one point in time.
 #[derive(Clone, Debug)]
 pub struct Snapshot(Data);
 
-/// What becomes of watches that wait while the store is restored.
+/// What a restore does to the watches that are pending.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fate {
-    /// Their connections break.
-    Cut,
-    /// They wait on for a change after the revision that they named, which
-    /// may be above the last one.
+pub enum PendingWatches {
+    /// Closes their connections.
+    Disconnect,
+    /// Leaves them waiting for a change after their revision, which may be
+    /// above the restored one.
     Hang,
 }
 
-/// A store.
+/// A metadata store that serves HTTP.
 #[derive(Debug)]
 pub struct Store {
     address: SocketAddr,
     data: Mutex<Data>,
-    /// Sent with each answer, unless it is 0.
+    /// Sent with each response, unless it is 0.
     era: AtomicU64,
-    /// Watches of this era and of older ones have lost their connections.
-    cut: AtomicU64,
+    /// Watches that started in this era or before are disconnected.
+    disconnected_era: AtomicU64,
     changed: Notify,
     down: AtomicBool,
-    mute: AtomicBool,
+    drops_responses: AtomicBool,
     calls: AtomicU64,
 }
 
-/// The era that a store begins in.
+/// The era of a new store.
 const FIRST_ERA: u64 = 1;
 
 type Reply = Response<Full<Bytes>>;
 
 impl Store {
-    /// Starts one on a free port of the loopback.
+    /// Starts a store on a free loopback port.
     ///
     /// # Panics
     ///
@@ -96,38 +97,38 @@
             address: listener.local_addr().expect("a bound port"),
             data: Mutex::default(),
             era: AtomicU64::new(FIRST_ERA),
-            cut: AtomicU64::new(0),
+            disconnected_era: AtomicU64::new(0),
             changed: Notify::new(),
             down: AtomicBool::new(false),
-            mute: AtomicBool::new(false),
+            drops_responses: AtomicBool::new(false),
             calls: AtomicU64::new(0),
         });
         tokio::spawn(accept(store.clone(), listener));
         store
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Calls that it was asked, also while it was down.
+    /// The number of calls received, including those while it was down.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Refuses every call, or serves again.
+    /// Makes it respond with 503 to every call, or serve again.
     pub fn set_down(&self, down: bool) {
         self.down.store(down, Ordering::Relaxed);
         self.changed.notify_waiters();
     }
 
-    /// Does what it is told and loses the answer, or answers again.
-    pub fn set_mute(&self, mute: bool) {
-        self.mute.store(mute, Ordering::Relaxed);
+    /// Makes it apply calls but drop their responses, or respond again.
+    pub fn set_drops_responses(&self, drops: bool) {
+        self.drops_responses.store(drops, Ordering::Relaxed);
     }
 
-    /// Forgets its history: watches are told to begin anew.
+    /// Discards the history, so that watches from older revisions get 410.
     pub fn compact(&self) {
         let mut data = self.lock();
         data.revision += 1;
@@ -136,24 +137,24 @@
         self.changed.notify_waiters();
     }
 
-    /// A copy of what it holds now.
+    /// Takes a snapshot of its content.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot(self.lock().clone())
     }
 
-    /// Comes back from a copy, in the next era.
-    pub fn restore(&self, copy: &Snapshot, watches: Fate) {
+    /// Restores a snapshot and begins the next era.
+    pub fn restore(&self, snapshot: &Snapshot, watches: PendingWatches) {
         let mut data = self.lock();
-        *data = copy.0.clone();
+        *data = snapshot.0.clone();
         let former = self.era.fetch_add(1, Ordering::Relaxed);
-        if watches == Fate::Cut {
-            self.cut.store(former, Ordering::Relaxed);
+        if watches == PendingWatches::Disconnect {
+            self.disconnected_era.store(former, Ordering::Relaxed);
         }
         drop(data);
         self.changed.notify_waiters();
     }
 
-    /// Tells this era from now on; none for 0.
+    /// Sets the era in its responses; 0 for none.
     pub fn set_era(&self, era: Era) {
         self.era.store(era.0, Ordering::Relaxed);
     }
@@ -162,17 +163,17 @@
         self.era.load(Ordering::Relaxed)
     }
 
-    /// Writes a desired state, as the operator does.
+    /// Writes the desired state, as an operator does.
     pub fn write_desired(&self, spec: &str) -> Revision {
         self.put(Kind::Desired, "main", spec, false)
     }
 
-    /// Names of the nodes that have registered.
+    /// The names of the registered nodes.
     pub fn nodes(&self) -> Vec<String> {
         self.names(Kind::Node)
     }
 
-    /// Names of the requests under which instances have ended.
+    /// The names of the requests suspected of crashing instances.
     pub fn suspects(&self) -> Vec<String> {
         self.names(Kind::Suspect)
     }
@@ -180,8 +181,8 @@
     fn names(&self, kind: Kind) -> Vec<String> {
         let data = self.lock();
         let all = data.objects.values().filter(|e| e.kind == kind);
-        let there = all.filter(|entry| !entry.removed);
-        there.map(|entry| entry.name.clone()).collect()
+        let present = all.filter(|entry| !entry.removed);
+        present.map(|entry| entry.name.clone()).collect()
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Data> {
@@ -211,7 +212,7 @@
         revision
     }
 
-    /// The revision of an object, if it is there.
+    /// The revision of an object, if it exists.
     fn revision(&self, kind: Kind, name: &str) -> Option<Revision> {
         let data = self.lock();
         let found = data.objects.get(&(kind as u8, name.to_string()));
@@ -223,18 +224,19 @@
         let data = self.lock();
         let found = data.objects.get(&(kind as u8, name.to_string()));
         let found = found.filter(|entry| !entry.removed);
-        found.map(|entry| show(entry).to_string().into_bytes())
+        found.map(|entry| to_json(entry).to_string().into_bytes())
     }
 
     fn list(&self, kind: Kind) -> Vec<u8> {
         let data = self.lock();
-        let there =
+        let present =
             data.objects.values().filter(|e| e.kind == kind && !e.removed);
-        let objects: Vec<_> = there.map(show).collect();
+        let objects: Vec<_> = present.map(to_json).collect();
         standin::page(&objects, Revision(data.revision))
     }
 
-    /// Changes after a revision; an error if they are forgotten.
+    /// The changes after a revision, if any. An error if that revision is
+    /// compacted.
     fn since(
         &self,
         kind: Kind,
@@ -248,10 +250,10 @@
             .objects
             .values()
             .filter(|e| e.kind == kind && e.revision > since);
-        let changes: Vec<_> = newer.map(|e| (show(e), e.removed)).collect();
+        let changes: Vec<_> = newer.map(|e| (to_json(e), e.removed)).collect();
         let revision = Revision(data.revision);
-        let news = || standin::news(&changes, revision);
-        Ok((!changes.is_empty()).then(news))
+        let encode = || standin::news(&changes, revision);
+        Ok((!changes.is_empty()).then(encode))
     }
 
     async fn watch(
@@ -259,16 +261,16 @@
         kind: Kind,
         since: Revision,
         wait: Millis,
-    ) -> Result<Reply, Lost> {
+    ) -> Result<Reply, ResponseDropped> {
         let end = tokio::time::Instant::now() + Duration::from_millis(wait.0);
-        let begun = self.era();
+        let started_in = self.era();
         if since.0 > self.lock().revision {
             return Ok(reply(StatusCode::GONE, Vec::new()));
         }
         loop {
             let changed = self.changed.notified();
-            if begun <= self.cut.load(Ordering::Relaxed) {
-                return Err(Lost);
+            if started_in <= self.disconnected_era.load(Ordering::Relaxed) {
+                return Err(ResponseDropped);
             }
             if self.down.load(Ordering::Relaxed) {
                 let unavailable = StatusCode::SERVICE_UNAVAILABLE;
@@ -276,7 +278,7 @@
             }
             match self.since(kind, since) {
                 Err(()) => return Ok(reply(StatusCode::GONE, Vec::new())),
-                Ok(Some(news)) => return Ok(reply(StatusCode::OK, news)),
+                Ok(Some(body)) => return Ok(reply(StatusCode::OK, body)),
                 Ok(None) => {}
             }
             if tokio::time::timeout_at(end, changed).await.is_err() {
@@ -286,7 +288,10 @@
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Result<Reply, Lost> {
+    async fn handle(
+        &self,
+        request: Request<Incoming>,
+    ) -> Result<Reply, ResponseDropped> {
         self.calls.fetch_add(1, Ordering::Relaxed);
         if self.down.load(Ordering::Relaxed) {
             return Ok(reply(StatusCode::SERVICE_UNAVAILABLE, Vec::new()));
@@ -304,12 +309,12 @@
             Call::Watch { kind, since, wait } => {
                 self.watch(kind, since, wait).await
             }
-            call => Ok(self.answer_at_once(call)),
+            call => Ok(self.handle_immediate(call)),
         }
     }
 
-    /// Answers a call that does not wait.
-    fn answer_at_once(&self, call: Call) -> Reply {
+    /// Handles any call but a watch.
+    fn handle_immediate(&self, call: Call) -> Reply {
         match call {
             Call::Watch { .. } => reply(StatusCode::NOT_FOUND, Vec::new()),
             Call::List(kind) => reply(StatusCode::OK, self.list(kind)),
@@ -340,7 +345,7 @@
     }
 }
 
-fn show(entry: &Entry) -> serde_json::Value {
+fn to_json(entry: &Entry) -> serde_json::Value {
     standin::object(&entry.name, entry.revision, &entry.spec)
 }
 
@@ -351,11 +356,14 @@
 }
 
 impl Store {
-    /// Answers a call, or breaks the connection after it.
-    async fn serve(&self, request: Request<Incoming>) -> Result<Reply, Lost> {
-        let mut reply = self.answer(request).await?;
-        if self.mute.load(Ordering::Relaxed) {
-            return Err(Lost);
+    /// Handles a call. An error closes the connection.
+    async fn serve(
+        &self,
+        request: Request<Incoming>,
+    ) -> Result<Reply, ResponseDropped> {
+        let mut reply = self.handle(request).await?;
+        if self.drops_responses.load(Ordering::Relaxed) {
+            return Err(ResponseDropped);
         }
         if let era @ 1.. = self.era() {
             reply.headers_mut().insert(header::ERA, era.into());
@@ -364,10 +372,10 @@
     }
 }
 
-/// An answer that the store has lost.
+/// The response is not sent, and the connection is closed.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer is lost")]
-struct Lost;
+#[error("response dropped")]
+struct ResponseDropped;
 
 async fn accept(store: Arc<Store>, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
--- a/crates/walnutmoor-standin/src/soak/load.rs
+++ b/crates/walnutmoor-standin/src/soak/load.rs
@@ -91,7 +91,7 @@
     let at = Instant::now();
     let path = format!("/{route}/thing");
     let answer = exchange(connection, &path, &id).await;
-    let keeps = answer.is_some() && !connection.closes();
+    let keeps = answer.is_some() && !connection.is_closing();
     world.record.sent(Sent {
         id,
         service: service.parse().expect("a service name"),
--- a/crates/walnutmoor-standin/src/soak/plan.rs
+++ b/crates/walnutmoor-standin/src/soak/plan.rs
@@ -11,7 +11,7 @@
 };
 
 use super::proxy::Mode;
-use crate::mesh::instance::Mood;
+use crate::mesh::instance::Behavior;
 
 /// A connection that a proxy stands in.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -48,7 +48,7 @@
     /// The store forgets its history.
     StoreForgets,
     /// An instance misbehaves.
-    Mood(usize, Mood),
+    Mood(usize, Behavior),
     /// An instance takes longer.
     Slow(usize, Duration),
     /// An instance drains, goes, and another lifetime takes its place.
@@ -200,15 +200,15 @@
         ])
     }
 
-    fn mood(&mut self) -> Mood {
+    fn mood(&mut self) -> Behavior {
         self.of(&[
-            Mood::LosesAnswers,
-            Mood::Sheds,
-            Mood::Fails,
-            Mood::AnswersTwice,
-            Mood::CutsAnswers,
-            Mood::Forges,
-            Mood::Forgets,
+            Behavior::DropsResponses,
+            Behavior::Sheds,
+            Behavior::Fails,
+            Behavior::RespondsTwice,
+            Behavior::TruncatesResponses,
+            Behavior::OmitsSignature,
+            Behavior::ResetsIdle,
         ])
     }
 }
--- a/crates/walnutmoor-standin/src/soak/restore.rs
+++ b/crates/walnutmoor-standin/src/soak/restore.rs
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::world::World;
-use crate::mesh::store::{Fate, Snapshot};
+use crate::mesh::store::{PendingWatches, Snapshot};
 
 /// The pause between two copies.
 const COPY_EACH: Duration = Duration::from_millis(200);
@@ -42,7 +42,7 @@
     /// How long the store is away.
     pub away: Duration,
     /// What becomes of watches.
-    pub watches: Fate,
+    pub watches: PendingWatches,
     /// How long until the operator writes again.
     pub again: Duration,
 }
@@ -56,7 +56,8 @@
     let mut at = Duration::ZERO;
     loop {
         let after = Duration::from_millis(500 + below(2 * PAUSE));
-        let watches = [Fate::Cut, Fate::Hang][below(2) as usize];
+        let watches = [PendingWatches::Disconnect, PendingWatches::Hang]
+            [below(2) as usize];
         let restore = Restore {
             after,
             lost: below(4) as u32,
--- a/crates/walnutmoor-standin/src/soak/world.rs
+++ b/crates/walnutmoor-standin/src/soak/world.rs
@@ -29,9 +29,9 @@
     verdict::{self, Record},
 };
 use crate::mesh::{
-    instance::{Arrival, Instance, Mood},
+    instance::{Arrival, Behavior, Instance},
     node::{Addresses, Node, Setup},
-    store::{Fate, Snapshot, Store},
+    store::{PendingWatches, Snapshot, Store},
 };
 
 /// The services of the instances, one for each node.
@@ -86,7 +86,7 @@
     /// True if the process has ended though the run did not end it.
     pub fn has_ended_by_itself(&self) -> bool {
         let mut node = self.lock();
-        self.up.load(Ordering::SeqCst) && node.has_ended()
+        self.up.load(Ordering::SeqCst) && node.has_exited()
     }
 
     /// What the node wrote.
@@ -179,7 +179,7 @@
         let mut members = Vec::new();
         for (index, service) in SERVICES.iter().enumerate() {
             let member = member(program, &store, index, service).await;
-            member.instance().set_fault(FATAL, down);
+            member.instance().crash_on(FATAL, down);
             members.push(member);
         }
         Arc::new(World {
@@ -254,22 +254,26 @@
             Fault::Reset(link) => self.proxy(link).reset(),
             Fault::StoreDown => self.hold_store_down(span).await,
             Fault::StoreMute => {
-                let set = |mute| self.store.set_mute(mute);
+                let set = |mute| self.store.set_drops_responses(mute);
                 self.last("store mute", span, set).await;
             }
             Fault::StoreForgets => self.store.compact(),
             Fault::Mood(node, mood) => {
                 let instance = self.members[node].instance();
                 let set = |on| {
-                    instance.set_mood(if on { mood } else { Mood::Well });
+                    instance.set_behavior(if on {
+                        mood
+                    } else {
+                        Behavior::Healthy
+                    });
                 };
                 self.last(&format!("mood {node}"), span, set).await;
             }
             Fault::Slow(node, time) => {
                 let instance = self.members[node].instance();
-                instance.set_time(time);
+                instance.set_run_time(time);
                 sleep(span).await;
-                instance.set_time(Duration::from_millis(5));
+                instance.set_run_time(Duration::from_millis(5));
             }
             Fault::Replace(node, way) => self.replace(node, way).await,
             Fault::Change(count) => self.change(count).await,
@@ -279,9 +283,9 @@
     /// Ends every fault that a node could still suffer from.
     pub fn heal(&self) {
         self.store.set_down(false);
-        self.store.set_mute(false);
+        self.store.set_drops_responses(false);
         for member in &self.members {
-            member.instance().set_mood(Mood::Well);
+            member.instance().set_behavior(Behavior::Healthy);
             for proxy in [&member.peers, &member.store, &member.server] {
                 proxy.set(Mode::Open);
             }
@@ -344,7 +348,7 @@
     }
 
     /// The store comes back from a copy.
-    pub fn restore_store(&self, copy: &Snapshot, watches: Fate) {
+    pub fn restore_store(&self, copy: &Snapshot, watches: PendingWatches) {
         self.store.restore(copy, watches);
     }
 
@@ -384,7 +388,7 @@
         }
         // It has its grace; a process that stands still does not use it.
         let end = Instant::now() + Duration::from_secs(7);
-        while Instant::now() < end && !member.lock().has_ended() {
+        while Instant::now() < end && !member.lock().has_exited() {
             sleep(Duration::from_millis(50)).await;
         }
         sleep(span / 4).await;
@@ -429,7 +433,7 @@
         let old = member.instance();
         let acknowledged = match way {
             Farewell::Drain => old.drain().await == 200,
-            Farewell::Goodbye => old.leave().await == 200,
+            Farewell::Goodbye => old.send_goodbye().await == 200,
             Farewell::Crash => false,
         };
         let since = Instant::now();
@@ -439,7 +443,7 @@
         if acknowledged {
             self.check_drain(&old, since);
         }
-        old.leave().await;
+        old.send_goodbye().await;
         old.stop();
         sleep(REUSE_AFTER).await;
         self.keep_arrivals(&old);
@@ -449,7 +453,7 @@
         let id = format!("i-{serial}");
         let name = member.service.as_str();
         let next = Instance::start(&id, name, at.server, at.control).await;
-        next.set_fault(FATAL, self.down);
+        next.crash_on(FATAL, self.down);
         *member.instance.lock().expect("no holder panics") = next;
         member.leaving.store(false, Ordering::SeqCst);
     }
@@ -503,7 +507,7 @@
     index: usize,
     service: &str,
 ) -> Member {
-    let addresses = Addresses::draw();
+    let addresses = Addresses::allocate();
     let peers = Proxy::start(addresses.peers).await;
     let to_store = Proxy::start(store.address()).await;
     let server = Proxy::start(addresses.server).await;
--- a/crates/walnutmoor/tests/mesh/accounts.rs
+++ b/crates/walnutmoor/tests/mesh/accounts.rs
@@ -7,7 +7,7 @@
 };
 use walnutmoor_platform::{header, standin};
 use walnutmoor_standin::{
-    mesh::caller::{self, Answer, Connection, text},
+    mesh::caller::{self, Connection, Response, format_request},
     soak::proxy::Mode,
 };
 
@@ -68,17 +68,18 @@
     route: &str,
     attempt: &str,
     lines: &[(&str, &str)],
-) -> Answer {
+) -> Response {
     let at = world.pairs[index].node.addresses().callers;
     let path = format!("/{route}/x");
-    let mut text = text(Method::POST, &path, &headers(attempt, 5_000), "b");
+    let mut text =
+        format_request(Method::POST, &path, &headers(attempt, 5_000), "b");
     let mut more = String::new();
     for (name, value) in lines {
         more.push_str(&format!("{name}: {value}\r\n"));
     }
     let at_head = text.find("\r\n").unwrap() + 2;
     text.insert_str(at_head, &more);
-    caller::raw(at, &text).await.unwrap()
+    caller::send_raw(at, &text).await.unwrap()
 }
 
 fn key(key: &str) -> [(&'static str, &str); 1] {
@@ -166,7 +167,7 @@
         let name = header::KEY;
         let mut with_key = headers("parent", 20_000);
         with_key.push((name, KEY.into()));
-        let bytes = text(Method::GET, "/browse/x", &with_key, "");
+        let bytes = format_request(Method::GET, "/browse/x", &with_key, "");
         caller.write(&bytes).await.unwrap();
         until("it runs", || async { desk.runs("parent") == 1 }).await;
 
@@ -197,7 +198,7 @@
         let with = |attempt: &str, key: &str| {
             let mut all = headers(attempt, 20_000);
             all.push((header::KEY, key.into()));
-            text(Method::GET, "/browse/x", &all, "")
+            format_request(Method::GET, "/browse/x", &all, "")
         };
         caller.write(&with("before", KEY)).await.unwrap();
         assert_eq!(caller.read().await.unwrap().status, 200);
--- a/crates/walnutmoor/tests/mesh/desired.rs
+++ b/crates/walnutmoor/tests/mesh/desired.rs
@@ -62,7 +62,7 @@
         world.pairs[1].instance.drain().await;
 
         world.served(0, "order", "joined").await;
-        assert!(world.pairs[2].instance.total() > 0);
+        assert!(world.pairs[2].instance.total_runs() > 0);
         assert_eq!(world.store.nodes().len(), 3);
     });
 }
@@ -96,7 +96,7 @@
         let world = World::start(&["front", "desk", "desk"]).await;
         let gone = world.pairs[2].node.addresses().peers;
 
-        assert_eq!(world.pairs[2].instance.leave().await, 200);
+        assert_eq!(world.pairs[2].instance.send_goodbye().await, 200);
         world.pairs[2].node.signal("TERM");
 
         until("its record is removed", || async {
@@ -123,12 +123,12 @@
         })
         .await;
 
-        let before = world.pairs[2].instance.total();
+        let before = world.pairs[2].instance.total_runs();
         for n in 0..40 {
             world.send(0, "browse", &format!("part-{n}")).await;
         }
 
-        assert_eq!(world.pairs[2].instance.total() - before, 10);
+        assert_eq!(world.pairs[2].instance.total_runs() - before, 10);
     });
 }
 
--- a/crates/walnutmoor/tests/mesh/faults.rs
+++ b/crates/walnutmoor/tests/mesh/faults.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use walnutmoor_standin::mesh::instance::Mood;
+use walnutmoor_standin::mesh::instance::Behavior;
 
 use crate::fixture::{World, is_promise, run, until};
 
@@ -26,17 +26,17 @@
 #[test]
 fn orders_run_once_whatever_becomes_of_their_answers() {
     let moods = [
-        Mood::LosesAnswers,
-        Mood::CutsAnswers,
-        Mood::AnswersTwice,
-        Mood::Forges,
-        Mood::Fails,
-        Mood::Sheds,
+        Behavior::DropsResponses,
+        Behavior::TruncatesResponses,
+        Behavior::RespondsTwice,
+        Behavior::OmitsSignature,
+        Behavior::Fails,
+        Behavior::Sheds,
     ];
     run(async {
         let world = World::start(&["front", "desk", "desk"]).await;
         for mood in moods {
-            world.pairs[1].instance.set_mood(mood);
+            world.pairs[1].instance.set_behavior(mood);
             order(&world, &format!("{mood:?}"), 10).await;
         }
     });
@@ -46,7 +46,7 @@
 fn every_answer_belongs_to_its_request_though_an_instance_answers_twice() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
-        world.pairs[1].instance.set_mood(Mood::AnswersTwice);
+        world.pairs[1].instance.set_behavior(Behavior::RespondsTwice);
 
         for n in 0..60 {
             let id = format!("twice-{n}");
@@ -62,8 +62,8 @@
 fn an_answer_cut_short_or_without_signature_never_looks_whole() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
-        for mood in [Mood::CutsAnswers, Mood::Forges] {
-            world.pairs[1].instance.set_mood(mood);
+        for mood in [Behavior::TruncatesResponses, Behavior::OmitsSignature] {
+            world.pairs[1].instance.set_behavior(mood);
             for n in 0..5 {
                 let id = format!("{mood:?}-{n}");
                 let answer = world.send(0, "browse", &id).await.unwrap();
@@ -80,7 +80,7 @@
         for n in 0..60 {
             world.served(0, "browse", &format!("warm-{n}")).await;
         }
-        world.pairs[1].instance.set_mood(Mood::LosesAnswers);
+        world.pairs[1].instance.set_behavior(Behavior::DropsResponses);
 
         world.served(0, "browse", "again").await;
 
@@ -184,7 +184,7 @@
         for n in 0..5 {
             world.served(0, "order", &format!("warm-{n}")).await;
         }
-        world.pairs[1].instance.set_mood(Mood::Forgets);
+        world.pairs[1].instance.set_behavior(Behavior::ResetsIdle);
 
         for n in 0..4 {
             // Longer than the instance remembers.
--- a/crates/walnutmoor/tests/mesh/fixture.rs
+++ b/crates/walnutmoor/tests/mesh/fixture.rs
@@ -9,7 +9,7 @@
 };
 use walnutmoor_platform::{header, standin};
 use walnutmoor_standin::mesh::{
-    caller::{self, Answer},
+    caller::{self, Response},
     instance::Instance,
     node::{Addresses, Node, Setup},
     store::Store,
@@ -84,7 +84,7 @@
 
     /// Starts one more pair.
     pub async fn add(&mut self, service: &str) {
-        let addresses = Addresses::draw();
+        let addresses = Addresses::allocate();
         let store = Proxy::start(self.store.address()).await;
         let setup = Setup {
             program: PathBuf::from(env!("CARGO_BIN_EXE_walnutmoor")),
@@ -146,7 +146,7 @@
         index: usize,
         route: &str,
         attempt: &str,
-    ) -> Option<Answer> {
+    ) -> Option<Response> {
         self.send_body(index, route, attempt, "body").await
     }
 
@@ -157,7 +157,7 @@
         route: &str,
         attempt: &str,
         body: &str,
-    ) -> Option<Answer> {
+    ) -> Option<Response> {
         let at = self.pairs[index].node.addresses().callers;
         let path = format!("/{route}/thing?x=%20y");
         let headers = headers(attempt, 5_000);
@@ -209,6 +209,6 @@
 }
 
 /// True if an answer promises that its request was not run.
-pub fn is_promise(answer: &Answer) -> bool {
+pub fn is_promise(answer: &Response) -> bool {
     matches!(answer.status, 429 | 503)
 }
--- a/crates/walnutmoor/tests/mesh/leaving.rs
+++ b/crates/walnutmoor/tests/mesh/leaving.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use walnutmoor_core::lifetime::Report;
-use walnutmoor_standin::mesh::instance::Mood;
+use walnutmoor_standin::mesh::instance::Behavior;
 
 use crate::fixture::{World, is_promise, run, until};
 
@@ -14,14 +14,14 @@
         let desk = &world.pairs[1].instance;
 
         assert_eq!(desk.drain().await, 200);
-        let before = desk.total();
+        let before = desk.total_runs();
         for n in 0..30 {
             let id = format!("drain-{n}");
             let answer = world.send(0, "order", &id).await.unwrap();
             assert_eq!(answer.status, 200);
         }
 
-        assert_eq!(desk.total(), before);
+        assert_eq!(desk.total_runs(), before);
     });
 }
 
@@ -31,15 +31,15 @@
         let world = World::start(&["front", "desk", "desk"]).await;
         let desk = &world.pairs[1].instance;
 
-        assert_eq!(desk.leave().await, 200);
-        let before = desk.total();
+        assert_eq!(desk.send_goodbye().await, 200);
+        let before = desk.total_runs();
         for n in 0..30 {
             let id = format!("leave-{n}");
             let answer = world.send(0, "order", &id).await.unwrap();
             assert_eq!(answer.status, 200);
         }
 
-        assert_eq!(desk.total(), before);
+        assert_eq!(desk.total_runs(), before);
     });
 }
 
@@ -48,19 +48,19 @@
     run(async {
         let mut world = World::start(&["front", "desk", "desk"]).await;
         world.pairs[1].instance.drain().await;
-        world.pairs[1].instance.hush();
+        world.pairs[1].instance.stop_heartbeats();
 
         world.pairs[1].node.restart();
         until("it has asked for the health", || async {
             world.pairs[1].node.log().contains("health check")
         })
         .await;
-        let before = world.pairs[1].instance.total();
+        let before = world.pairs[1].instance.total_runs();
         for n in 0..20 {
             world.send(0, "order", &format!("shut-{n}")).await;
         }
 
-        assert_eq!(world.pairs[1].instance.total(), before);
+        assert_eq!(world.pairs[1].instance.total_runs(), before);
     });
 }
 
@@ -69,7 +69,7 @@
     run(async {
         let mut world = World::start(&["front", "desk", "desk"]).await;
         // Its health still says that it is well.
-        assert_eq!(world.pairs[1].instance.leave().await, 200);
+        assert_eq!(world.pairs[1].instance.send_goodbye().await, 200);
 
         world.pairs[1].node.restart();
         until("it has asked for the health", || async {
@@ -86,14 +86,14 @@
             links.next_back().is_some_and(|line| line.contains("regained"))
         })
         .await;
-        let before = world.pairs[1].instance.total();
+        let before = world.pairs[1].instance.total_runs();
         for n in 0..20 {
             let id = format!("gone-{n}");
             let answer = world.send(0, "order", &id).await.unwrap();
             assert_eq!(answer.status, 200);
         }
 
-        assert_eq!(world.pairs[1].instance.total(), before);
+        assert_eq!(world.pairs[1].instance.total_runs(), before);
     });
 }
 
@@ -101,7 +101,7 @@
 fn a_node_that_is_told_to_end_cuts_no_request() {
     run(async {
         let mut world = World::start(&["front", "desk"]).await;
-        world.pairs[1].instance.set_time(Duration::from_millis(1_500));
+        world.pairs[1].instance.set_run_time(Duration::from_millis(1_500));
         let world_ref = Arc::new(world.pairs[0].node.addresses().callers);
         let at = *world_ref;
         let sent = tokio::spawn(async move {
@@ -124,7 +124,7 @@
         assert_eq!(answer.status, 200);
         let node = &mut world.pairs[0].node;
         loop {
-            if node.has_ended_well() {
+            if node.has_succeeded() {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -137,11 +137,11 @@
 fn a_node_that_has_ended_refuses_with_a_promise_or_not_at_all() {
     run(async {
         let mut world = World::start(&["front", "desk"]).await;
-        world.pairs[1].instance.set_mood(Mood::Well);
+        world.pairs[1].instance.set_behavior(Behavior::Healthy);
         world.pairs[0].node.signal("TERM");
 
         let mut n = 0;
-        while !world.pairs[0].node.has_ended_well() {
+        while !world.pairs[0].node.has_succeeded() {
             n += 1;
             let id = format!("end-{n}");
             let answer = world.send(0, "order", &id).await;
@@ -172,7 +172,7 @@
             sequence: 1_000_000,
             ready: false,
         };
-        world.pairs[1].instance.say(&late).await;
+        world.pairs[1].instance.send_report(&late).await;
 
         for n in 0..10 {
             let id = format!("after-{n}");
@@ -188,7 +188,7 @@
     run(async {
         let mut world = World::start(&["front", "desk"]).await;
         let former = world.pairs[1].instance.clone();
-        assert_eq!(former.leave().await, 200);
+        assert_eq!(former.send_goodbye().await, 200);
         former.stop();
 
         world.pairs[1].node.restart();
--- a/crates/walnutmoor/tests/mesh/path.rs
+++ b/crates/walnutmoor/tests/mesh/path.rs
@@ -2,7 +2,7 @@
 
 use http::Method;
 use walnutmoor_platform::header;
-use walnutmoor_standin::mesh::{caller, instance::Mood};
+use walnutmoor_standin::mesh::{caller, instance::Behavior};
 
 use crate::fixture::{DESCRIPTORS, World, headers, is_promise, run, until};
 
@@ -51,7 +51,7 @@
                  {id}: odd\r\n{line}\r\nabcdGET /order/y HTTP/1.1\r\n\
                  host: shop.example\r\n{id}: smuggled\r\n\r\n"
             );
-            let answer = caller::raw(at, &text).await;
+            let answer = caller::send_raw(at, &text).await;
             let refused =
                 answer.is_none_or(|a| (400..500).contains(&a.status));
             assert!(refused, "{line}");
@@ -66,8 +66,8 @@
     run(async {
         let world = World::start(&["front", "desk"]).await;
         let instance = &world.pairs[1].instance;
-        instance.set_mood(Mood::Silent);
-        instance.set_time(std::time::Duration::from_secs(600));
+        instance.set_behavior(Behavior::NeverResponds);
+        instance.set_run_time(std::time::Duration::from_secs(600));
         let at = world.pairs[0].node.addresses().callers;
 
         let waiting = tokio::spawn(async move {
@@ -79,7 +79,8 @@
         until("it runs", || async { instance.runs("left") == 1 }).await;
         waiting.abort();
 
-        until("its run is cut", || async { instance.cut() == 1 }).await;
+        until("its run is cut", || async { instance.aborted_runs() == 1 })
+            .await;
     });
 }
 
@@ -88,7 +89,7 @@
     run(async {
         let world = World::start(&["front", "desk", "desk"]).await;
         for pair in &world.pairs {
-            pair.instance.set_mood(Mood::Sheds);
+            pair.instance.set_behavior(Behavior::Sheds);
         }
 
         for n in 0..20 {
@@ -133,7 +134,8 @@
                  \r\n",
                 header::ATTEMPT
             );
-            let (answer, stream) = caller::hold(at, &text).await.unwrap();
+            let (answer, stream) =
+                caller::send_keep_alive(at, &text).await.unwrap();
             assert_eq!(answer.status, 200);
             let close = answer.headers.get(http::header::CONNECTION);
             asked += usize::from(close.is_some_and(|c| c == "close"));
--- a/crates/walnutmoor/tests/mesh/pipeline.rs
+++ b/crates/walnutmoor/tests/mesh/pipeline.rs
@@ -4,13 +4,18 @@
 
 use http::Method;
 use walnutmoor_platform::header;
-use walnutmoor_standin::mesh::caller::{Answer, Connection, text};
+use walnutmoor_standin::mesh::caller::{Connection, Response, format_request};
 
 use crate::fixture::{World, headers, run, until};
 
 /// A request, as bytes.
 fn ask(method: Method, route: &str, attempt: &str, body: &str) -> String {
-    text(method, &format!("/{route}/x"), &headers(attempt, 20_000), body)
+    format_request(
+        method,
+        &format!("/{route}/x"),
+        &headers(attempt, 20_000),
+        body,
+    )
 }
 
 fn browse(attempt: &str) -> String {
@@ -25,7 +30,7 @@
     connection
 }
 
-fn is_for(answer: &Answer, attempt: &str) -> bool {
+fn is_for(answer: &Response, attempt: &str) -> bool {
     let id = answer.headers.get(header::ATTEMPT);
     answer.status == 200 && id.is_some_and(|id| id == attempt)
 }
@@ -78,9 +83,9 @@
         let mut caller = connect(&world, &sent).await;
 
         assert!(is_for(&caller.read().await.unwrap(), "a"));
-        assert!(!caller.closes());
+        assert!(!caller.is_closing());
         assert!(is_for(&caller.read().await.unwrap(), "b"));
-        assert!(caller.closes());
+        assert!(caller.is_closing());
         assert!(caller.read().await.is_none());
         assert_eq!(world.runs("c"), 0);
     });
@@ -94,11 +99,15 @@
         ["a", "b", "c"].iter().for_each(|id| desk.hold(id));
 
         let caller = connect(&world, &["a", "b", "c"].map(browse)).await;
-        until("all run", || async { desk.total() == 3 }).await;
-        assert_eq!(desk.cut(), 0, "one had to end for another to begin");
+        until("all run", || async { desk.total_runs() == 3 }).await;
+        assert_eq!(
+            desk.aborted_runs(),
+            0,
+            "one had to end for another to begin"
+        );
         drop(caller);
 
-        until("all are cut", || async { desk.cut() == 3 }).await;
+        until("all are cut", || async { desk.aborted_runs() == 3 }).await;
     });
 }
 
@@ -110,7 +119,7 @@
         let all = ["a", "b", "c", "d"];
         all.iter().for_each(|id| desk.hold(id));
         let mut caller = connect(&world, &all.map(browse)).await;
-        until("all run", || async { desk.total() == 4 }).await;
+        until("all run", || async { desk.total_runs() == 4 }).await;
 
         world.pairs[0].node.signal("TERM");
         until("it is not ready", || async { !world.is_ready(0).await }).await;
@@ -118,7 +127,7 @@
 
         for id in all {
             assert!(is_for(&caller.read().await.unwrap(), id));
-            assert_eq!(caller.closes(), id == "d");
+            assert_eq!(caller.is_closing(), id == "d");
         }
     });
 }
@@ -142,7 +151,7 @@
 
             assert!(is_for(&caller.read().await.unwrap(), &good));
             assert_eq!(caller.read().await.unwrap().status, 400);
-            assert!(caller.closes());
+            assert!(caller.is_closing());
             assert!(caller.read().await.is_none());
         }
         assert_eq!(world.runs("odd") + world.runs("behind"), 0);
@@ -200,15 +209,15 @@
         });
         let mut last = u32::MAX;
         until("no more is run", || {
-            let same =
-                desk.total() == std::mem::replace(&mut last, desk.total());
+            let same = desk.total_runs()
+                == std::mem::replace(&mut last, desk.total_runs());
             async move {
                 tokio::time::sleep(Duration::from_millis(300)).await;
                 same
             }
         })
         .await;
-        assert!(desk.total() < COUNT, "all of {COUNT} were run");
+        assert!(desk.total_runs() < COUNT, "all of {COUNT} were run");
         let mut bytes = 0;
         let mut part = vec![0; 64 << 10];
         while bytes < COUNT as usize * 30_000 {
@@ -218,7 +227,7 @@
             bytes += count;
         }
 
-        assert_eq!(desk.total(), COUNT);
+        assert_eq!(desk.total_runs(), COUNT);
         drop(sending.await.unwrap());
     });
 }
--- a/crates/walnutmoor/tests/mesh/poison.rs
+++ b/crates/walnutmoor/tests/mesh/poison.rs
@@ -23,7 +23,7 @@
 use tokio::time::{Instant, sleep};
 
 use walnutmoor_core::table::Effect;
-use walnutmoor_standin::mesh::{instance::Mood, store::Fate};
+use walnutmoor_standin::mesh::{instance::Behavior, store::PendingWatches};
 
 use crate::fixture::{World, desired, route, routes, run, until};
 
@@ -48,7 +48,7 @@
     let services = ["front", "front", "desk", "desk", "desk"];
     let world = World::start(&services).await;
     for pair in &world.pairs {
-        pair.instance.set_fault(SPOILED, DOWN);
+        pair.instance.crash_on(SPOILED, DOWN);
     }
     world
 }
@@ -200,7 +200,7 @@
     run(async {
         let world = faulty().await;
         for pair in &world.pairs {
-            pair.instance.set_time(Duration::from_millis(60));
+            pair.instance.set_run_time(Duration::from_millis(60));
         }
         let beside = (0..12).map(|n| {
             let id = format!("beside-{n}");
@@ -268,7 +268,7 @@
         .await;
         whole_again(&world).await;
 
-        world.store.restore(&copy, Fate::Cut);
+        world.store.restore(&copy, PendingWatches::Disconnect);
         until("the store keeps it again", || async {
             world.store.suspects().len() == 1
         })
@@ -350,7 +350,7 @@
     run(async {
         let world = faulty().await;
         for pair in &world.pairs {
-            pair.instance.set_fault("other", DOWN);
+            pair.instance.crash_on("other", DOWN);
         }
         let third = until_three(&world).await;
         let all = |name: &'static str, body: &'static str| {
@@ -384,7 +384,7 @@
         let long = "x".repeat(300_000);
         for (count, body) in [(1, ""), (2, long.as_str())] {
             for pair in &world.pairs {
-                pair.instance.set_fault(body, DOWN);
+                pair.instance.crash_on(body, DOWN);
             }
             let before = crashes(&world).len();
             until_barred(&world, &format!("b{count}"), body, count).await;
@@ -450,7 +450,7 @@
         world.served(2, "visit", "known").await;
         let fronts = &world.pairs[..2];
         for pair in fronts {
-            pair.instance.set_mood(Mood::Fails);
+            pair.instance.set_behavior(Behavior::Fails);
             pair.instance.hold("outer");
         }
         let outer = world.send(2, "visit", "outer");
@@ -478,7 +478,7 @@
     run(async {
         let world = faulty().await;
         for pair in &world.pairs[2..] {
-            pair.instance.set_time(Duration::from_millis(80));
+            pair.instance.set_run_time(Duration::from_millis(80));
         }
         for n in 0..12 {
             world.served(n % 5, "browse", &format!("well-{n}")).await;
--- a/crates/walnutmoor/tests/mesh/restore.rs
+++ b/crates/walnutmoor/tests/mesh/restore.rs
@@ -18,7 +18,7 @@
     id::Era,
     table::{Effect, Route},
 };
-use walnutmoor_standin::mesh::store::Fate;
+use walnutmoor_standin::mesh::store::PendingWatches;
 
 use crate::fixture::{World, desired, route, routes, run, until};
 
@@ -56,7 +56,7 @@
         }
 
         world.store.set_down(true);
-        world.store.restore(&copy, Fate::Cut);
+        world.store.restore(&copy, PendingWatches::Disconnect);
         world.store.set_down(false);
         write(&world, 7);
         write(&world, 9);
@@ -95,7 +95,7 @@
         let copy = world.store.snapshot();
         write(&world, 7);
         in_force(&world, 7).await;
-        world.store.restore(&copy, Fate::Cut);
+        world.store.restore(&copy, PendingWatches::Disconnect);
 
         world.pairs[0].node.restart();
         until("its next life has a desired state", || async {
@@ -115,7 +115,7 @@
         let copy = world.store.snapshot();
         write(&world, 7);
         in_force(&world, 7).await;
-        world.store.restore(&copy, Fate::Cut);
+        world.store.restore(&copy, PendingWatches::Disconnect);
         world.pairs.iter_mut().for_each(|pair| pair.node.restart());
         world.served(0, "browse", "by-the-copy").await;
 
@@ -145,7 +145,7 @@
         until("two watch", || async { others().count() == 1 }).await;
         let other = others().next().unwrap();
 
-        world.store.restore(&copy, Fate::Hang);
+        world.store.restore(&copy, PendingWatches::Hang);
         // It reads the store, and leaves the watch to the two that hang.
         world.pairs[other].node.restart();
         until("its next life has settled", || async {
@@ -191,7 +191,7 @@
         world.add("desk").await;
         world.whole().await;
 
-        world.store.restore(&copy, Fate::Cut);
+        world.store.restore(&copy, PendingWatches::Disconnect);
 
         until("all are listed", || async { world.store.nodes().len() == 3 })
             .await;
@@ -225,7 +225,7 @@
         })
         .await;
 
-        world.store.restore(&copy, Fate::Cut);
+        world.store.restore(&copy, PendingWatches::Disconnect);
         until("the other one is listed", || async {
             has_registered_again(&world, 1)
         })
--- a/crates/walnutmoor/tests/mesh/resume.rs
+++ b/crates/walnutmoor/tests/mesh/resume.rs
@@ -114,7 +114,7 @@
     run(async {
         let world = World::start(&["desk"]).await;
         let at = world.pairs[0].node.addresses().peers;
-        world.pairs[0].instance.set_time(Duration::from_millis(400));
+        world.pairs[0].instance.set_run_time(Duration::from_millis(400));
         let mut end = End::open(at, 7).await;
         end.send(&order(1, "r1")).await;
         until("it runs", || async { world.runs("r1") == 1 }).await;
@@ -133,7 +133,7 @@
     run(async {
         let world = World::start(&["desk"]).await;
         let addresses = world.pairs[0].node.addresses();
-        world.pairs[0].instance.set_time(Duration::from_millis(400));
+        world.pairs[0].instance.set_run_time(Duration::from_millis(400));
         let mut end = End::open(addresses.peers, 7).await;
         end.send(&order(1, "k1")).await;
         until("it runs", || async { world.runs("k1") == 1 }).await;
--- a/crates/walnutmoor/tests/mesh/sight.rs
+++ b/crates/walnutmoor/tests/mesh/sight.rs
@@ -18,7 +18,7 @@
     run(async {
         let world = World::start(&["front", "desk"]).await;
         let desk = &world.pairs[1];
-        desk.instance.set_fault("spoiled", Duration::from_millis(500));
+        desk.instance.crash_on("spoiled", Duration::from_millis(500));
 
         world.send_body(0, "browse", "fatal", "spoiled").await;
 
@@ -44,8 +44,9 @@
     run(async {
         let world = World::start(&["front", "desk"]).await;
         let desk = &world.pairs[1];
-        let cuts = walnutmoor_standin::mesh::instance::Mood::LosesAnswers;
-        desk.instance.set_mood(cuts);
+        let cuts =
+            walnutmoor_standin::mesh::instance::Behavior::DropsResponses;
+        desk.instance.set_behavior(cuts);
         world.send(0, "browse", "lost").await;
         desk.instance.drain().await;
         desk.instance.stop();
