--- a/crates/walnutmoor-standin/src/main.rs
+++ b/crates/walnutmoor-standin/src/main.rs
@@ -128,9 +128,9 @@
         let config = soak::Config::new(own.clone(), seed);
         let config = config.length(length).poison(true).restores(true);
         let report = runtime()?.block_on(soak::run(&config));
-        failed += u32::from(!report.breaches.is_empty());
+        failed += u32::from(!report.violations.is_empty());
         print(&report);
-        if let (Some(dir), false) = (&logs, report.breaches.is_empty()) {
+        if let (Some(dir), false) = (&logs, report.violations.is_empty()) {
             keep(dir, &report)?;
         }
     }
@@ -148,11 +148,13 @@
 }
 
 fn print(report: &soak::Report) {
-    let soak::Report { seed, faults, ends, .. } = report;
-    let ends: Vec<String> =
-        ends.iter().map(|(status, n)| format!("{status}: {n}")).collect();
+    let soak::Report { seed, faults, status_counts, .. } = report;
+    let ends: Vec<String> = status_counts
+        .iter()
+        .map(|(status, n)| format!("{status}: {n}"))
+        .collect();
     println!("seed {seed}: {faults} faults; {}", ends.join(", "));
-    for breach in &report.breaches {
+    for breach in &report.violations {
         println!("  broken: {breach}");
     }
 }
--- a/crates/walnutmoor-standin/src/soak/load.rs
+++ b/crates/walnutmoor-standin/src/soak/load.rs
@@ -1,6 +1,6 @@
 /*!
-Callers that keep their connections until the process is gone, and a probe of
-the desired state that each node has in force.
+The load of a soak: callers with persistent connections, a caller that resends
+a fatal request, and probes of the desired state that each node applies.
 */
 
 use std::{
@@ -21,85 +21,87 @@
 
 use super::{
     plan::Poison,
-    verdict::Sent,
-    world::{ASKED, HOST, World, callers, probe},
+    verdict::Exchange,
+    world::{HOST, ROUTES, World, caller_address, probe_route},
 };
 use crate::mesh::caller::Connection;
 
-/// The time that a caller gives a request.
-const TIME: Duration = Duration::from_millis(4_000);
+/// The deadline of each request.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// How long a caller thinks between two requests at most, in milliseconds.
-const THINK: u64 = 30;
+/// Upper bound of the pause between two requests of a caller, in milliseconds.
+const MAX_THINK_TIME_MS: u64 = 30;
 
-/// How long a caller waits before it connects again.
-const BACK_OFF: Duration = Duration::from_millis(50);
+/// The pause after a failed connection attempt.
+const RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// How long a caller waits for a connection.
-const CONNECT_WITHIN: Duration = Duration::from_secs(1);
+/// The time limit to connect.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Where a caller stands, and how its requests are named.
+/// A caller that sends one request after the other to a node.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// The node that it sends to.
+    /// The index of the node that it sends to.
     pub node: usize,
-    /// Begins the ids of its requests.
-    pub name: String,
-    /// The seed of what it asks for.
+    /// The prefix of its request ids.
+    pub id_prefix: String,
+    /// Seeds its choice of routes and its pauses.
     pub seed: u64,
 }
 
 impl Caller {
-    /// Sends requests until told to stop.
+    /// Sends requests until `stop` is set.
     pub async fn run(self, world: Arc<World>, stop: Arc<AtomicBool>) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
-        let mut kept = None;
+        let mut idle = None;
         let mut number = 0;
         while !stop.load(Ordering::Relaxed) {
-            let to = callers(&world.members[self.node]);
-            let connection = match kept.take() {
+            let address = caller_address(&world.members[self.node]);
+            let connection = match idle.take() {
                 Some(connection) => Some(connection),
-                None => open(to).await,
+                None => connect(address).await,
             };
             let Some(mut connection) = connection else {
-                sleep(BACK_OFF).await;
+                sleep(RECONNECT_BACKOFF).await;
                 continue;
             };
             number += 1;
-            let id = format!("{}-{number}", self.name);
-            let which = (rng.next_u64() % ASKED.len() as u64) as usize;
-            if ask(&world, &mut connection, which, id).await {
-                kept = Some(connection);
+            let id = format!("{}-{number}", self.id_prefix);
+            let route_index = (rng.next_u64() % ROUTES.len() as u64) as usize;
+            if send_request(&world, &mut connection, route_index, id).await {
+                idle = Some(connection);
             }
-            sleep(Duration::from_millis(rng.next_u64() % THINK)).await;
+            sleep(Duration::from_millis(rng.next_u64() % MAX_THINK_TIME_MS))
+                .await;
         }
     }
 }
 
-async fn open(to: std::net::SocketAddr) -> Option<Connection> {
-    timeout(CONNECT_WITHIN, Connection::open(to)).await.ok()?
+async fn connect(address: std::net::SocketAddr) -> Option<Connection> {
+    timeout(CONNECT_TIMEOUT, Connection::open(address)).await.ok()?
 }
 
-/// Sends one request; true if the connection can be kept.
-async fn ask(
+/// Sends one request and records the exchange. True if the connection can be
+/// reused.
+async fn send_request(
     world: &World,
     connection: &mut Connection,
-    which: usize,
+    route_index: usize,
     id: String,
 ) -> bool {
-    let (route, service, effect) = ASKED[which];
+    let (route, service, effect) = ROUTES[route_index];
     let at = Instant::now();
     let path = format!("/{route}/thing");
-    let answer = exchange(connection, &path, &id).await;
-    let keeps = answer.is_some() && !connection.is_closing();
-    world.record.sent(Sent {
+    let response = exchange(connection, &path, &id).await;
+    let reusable = response.is_some() && !connection.is_closing();
+    world.record.record_exchange(Exchange {
         id,
         service: service.parse().expect("a service name"),
         effect,
         at,
-        answer,
+        response,
     });
-    keeps
+    reusable
 }
 
 async fn exchange(
@@ -109,24 +111,23 @@
 ) -> Option<(u16, String)> {
     let headers = headers(id);
     let sent = connection.send(Method::POST, path, &headers, "body");
-    let answer = timeout(TIME, sent).await.ok()??;
-    Some((answer.status, answer.body))
+    let response = timeout(REQUEST_TIMEOUT, sent).await.ok()??;
+    Some((response.status, response.body))
 }
 
 fn headers(id: &str) -> Vec<(HeaderName, String)> {
     vec![
         (http::header::HOST, HOST.into()),
         (header::ATTEMPT, id.into()),
-        (header::TIME_LEFT, TIME.as_millis().to_string()),
+        (header::TIME_LEFT, REQUEST_TIMEOUT.as_millis().to_string()),
     ]
 }
 
-/// The body that ends instances.
-pub const FATAL: &str = "fatal";
+/// The body of requests that crash instances.
+pub const FATAL_BODY: &str = "fatal";
 
-/// The caller of a request that ends instances: it comes again and again, at
-/// one node after the other.
-pub async fn resend(world: Arc<World>, poison: Poison) {
+/// Sends the fatal request repeatedly, to the nodes in turn.
+pub async fn send_poison(world: Arc<World>, poison: Poison) {
     sleep(poison.at).await;
     let end = Instant::now() + poison.span;
     let mut number = 0;
@@ -136,63 +137,77 @@
             tokio::spawn(send_fatal(world.clone(), node));
         }
         number += 1;
-        sleep(poison.pause).await;
+        sleep(poison.interval).await;
     }
 }
 
 async fn send_fatal(world: Arc<World>, node: usize) {
-    let Some(mut connection) = open(callers(&world.members[node])).await
+    let Some(mut connection) =
+        connect(caller_address(&world.members[node])).await
     else {
         return;
     };
-    let id = format!("probe-fatal-{}", world.count());
+    let id = format!("probe-fatal-{}", world.next_serial());
     let headers = headers(&id);
-    let sent = connection.send(Method::POST, "/browse/x", &headers, FATAL);
-    // It earns nothing: what instances saw of it is judged.
-    let _ = timeout(TIME, sent).await;
+    let sent =
+        connection.send(Method::POST, "/browse/x", &headers, FATAL_BODY);
+    // The response is not checked; `World::check_poison` checks the runs.
+    let _ = timeout(REQUEST_TIMEOUT, sent).await;
 }
 
-/// Asks a node for the route that came with a version: true if it has it,
-/// false if it does not, `None` if that can't be told.
-pub async fn has(world: &World, node: usize, version: u64) -> Option<bool> {
-    let mut connection = open(callers(&world.members[node])).await?;
-    let route = probe(version);
-    let id = format!("probe-{node}-{version}-{}", world.count());
-    let answer = exchange(&mut connection, &format!("/{route}/x"), &id).await;
-    match answer?.0 {
+/// Probes whether a node has applied a version of the desired state, by a
+/// request for the route that the version added. `None` if there is no clear
+/// response.
+pub async fn has_version(
+    world: &World,
+    node: usize,
+    version: u64,
+) -> Option<bool> {
+    let mut connection = connect(caller_address(&world.members[node])).await?;
+    let route = probe_route(version);
+    let id = format!("probe-{node}-{version}-{}", world.next_serial());
+    let response =
+        exchange(&mut connection, &format!("/{route}/x"), &id).await;
+    match response?.0 {
         200 => Some(true),
         404 => Some(false),
         _ => None,
     }
 }
 
-/// Watches that no life of a node goes back to an older desired state.
-pub async fn watch(world: Arc<World>, node: usize, stop: Arc<AtomicBool>) {
+/// Checks that a node process doesn't exit unexpectedly or go back to an older
+/// desired state.
+pub async fn watch_versions(
+    world: Arc<World>,
+    node: usize,
+    stop: Arc<AtomicBool>,
+) {
     let member = &world.members[node];
-    let (mut life, mut seen) = (member.life(), 0);
+    let (mut incarnation, mut applied) = (member.incarnation(), 0);
     while !stop.load(Ordering::Relaxed) {
         sleep(Duration::from_millis(150)).await;
-        if member.has_ended_by_itself() {
-            let seen = format!("the process of node {node} ended by itself");
-            return world.record.breach("runs on", seen);
+        if member.has_exited_unexpectedly() {
+            let detail =
+                format!("the process of node {node} exited unexpectedly");
+            return world.record.record_violation("runs on", detail);
         }
-        if member.life() != life {
-            (life, seen) = (member.life(), 0);
+        if member.incarnation() != incarnation {
+            (incarnation, applied) = (member.incarnation(), 0);
         }
         let newest = world.version();
-        if has(&world, node, newest).await == Some(true) {
-            if member.life() == life {
-                seen = seen.max(newest);
+        if has_version(&world, node, newest).await == Some(true) {
+            if member.incarnation() == incarnation {
+                applied = applied.max(newest);
             }
             continue;
         }
-        if seen == 0 {
+        if applied == 0 {
             continue;
         }
-        let gone = has(&world, node, seen).await == Some(false);
-        if gone && member.life() == life {
-            let seen = format!("node {node} lost version {seen}");
-            world.record.breach("never back", seen);
+        let missing = has_version(&world, node, applied).await == Some(false);
+        if missing && member.incarnation() == incarnation {
+            let detail = format!("node {node} lost version {applied}");
+            world.record.record_violation("never back", detail);
         }
     }
 }
--- a/crates/walnutmoor-standin/src/soak/mod.rs
+++ b/crates/walnutmoor-standin/src/soak/mod.rs
@@ -1,14 +1,15 @@
 /*!
-A soak: the real program as separate processes on one machine, with faults
-from outside, and a check of what was promised by what callers and instances
-see.
+A soak test: runs the real program as separate processes on one machine,
+injects faults, and checks invariants against what callers and instances saw.
 
-Proxies on the loopback stand in every connection between nodes, to the store
-and to instances; processes are killed, paused and told to end; the store goes
-away, loses answers, forgets and comes back from older copies. The program uses the steady clock only, which
-can't be set, and no disk, so clocks and disks are not harmed. Every fault comes
-from the seed; what processes make of it does not, so a seed that failed once
-may need several runs.
+Loopback proxies sit on every connection between nodes, to the store and to
+instances. Processes are killed, paused and terminated. The store goes down,
+drops responses, compacts its history and is restored from older snapshots.
+There are no clock or disk faults, because the program uses only the monotonic
+clock and no disk.
+
+The seed determines all faults but not the scheduling of the processes, so a
+failure may take several runs of its seed to reproduce.
 
 # Example
 
@@ -42,18 +43,18 @@
 
 use self::{
     load::Caller,
-    verdict::{Breach, Ends},
+    verdict::{StatusCounts, Violation},
     world::{SERVICES, World},
 };
 
-/// Callers of each node.
-const CALLERS: u64 = 2;
+/// The number of callers of each node.
+const CALLERS_PER_NODE: u64 = 2;
 
-/// How long a world that is whole again may take to serve, once the last
-/// process has started. The platform allows 15 s; a busy machine gets more.
-const RECOVERS_WITHIN: Duration = Duration::from_secs(60);
+/// The time limit for all nodes to serve once no faults are active. It exceeds
+/// the platform's limit of 15 s, to allow for a busy machine.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A run.
+/// The settings of a run.
 #[derive(Clone, Debug)]
 pub struct Config {
     program: PathBuf,
@@ -64,103 +65,103 @@
 }
 
 impl Config {
-    /// A run of 20 seconds of faults with this program.
+    /// A run of this program with 20 seconds of faults.
     pub fn new(program: PathBuf, seed: u64) -> Config {
         let length = Duration::from_secs(20);
         Config { program, seed, length, poison: false, restores: false }
     }
 
-    /// Whether a request comes, beside the faults, that ends the instances
-    /// which run it.
+    /// Whether a request that crashes instances is sent during the faults.
     pub fn poison(mut self, poison: bool) -> Config {
         self.poison = poison;
         self
     }
 
-    /// Whether the store comes back from older copies, beside the faults.
+    /// Whether the store is restored from older snapshots during the faults.
     pub fn restores(mut self, restores: bool) -> Config {
         self.restores = restores;
         self
     }
 
-    /// How long new faults begin.
+    /// The time during which new faults begin.
     pub fn length(mut self, length: Duration) -> Config {
         self.length = length;
         self
     }
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// Its seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// Faults that were brought about.
+    /// The number of injected faults, without poison and restores.
     pub faults: usize,
-    /// How requests ended, by status.
-    pub ends: Ends,
-    /// Promises that were not kept.
-    pub breaches: Vec<Breach>,
-    /// What the nodes wrote, in the order of the nodes.
+    /// The number of requests by response status.
+    pub status_counts: StatusCounts,
+    /// The violated invariants.
+    pub violations: Vec<Violation>,
+    /// The logs of the nodes, in the order of [`SERVICES`].
     pub logs: Vec<String>,
 }
 
-/// Plays a run.
+/// Executes a run.
 pub async fn run(config: &Config) -> Report {
     let nodes = SERVICES.len();
-    let poison = plan::poison(config.seed, nodes, config.length);
-    let world = World::start(&config.program, poison.down).await;
+    let poison = plan::draw_poison(config.seed, nodes, config.length);
+    let world = World::start(&config.program, poison.downtime).await;
     let stop = Arc::new(AtomicBool::new(false));
     let mut load = JoinSet::new();
-    whole(&world).await;
+    wait_recovered(&world).await;
     for node in 0..SERVICES.len() {
-        load.spawn(load::watch(world.clone(), node, stop.clone()));
-        for caller in 0..CALLERS {
-            let name = format!("s{}-{node}-{caller}", config.seed);
+        load.spawn(load::watch_versions(world.clone(), node, stop.clone()));
+        for caller in 0..CALLERS_PER_NODE {
+            let id_prefix = format!("s{}-{node}-{caller}", config.seed);
             let seed = config.seed * 1_000 + node as u64 * 10 + caller;
-            let caller = Caller { node, name, seed };
+            let caller = Caller { node, id_prefix, seed };
             load.spawn(caller.run(world.clone(), stop.clone()));
         }
     }
     let plan = plan::draw(config.seed, SERVICES.len(), config.length);
     let mut faults = JoinSet::new();
     if config.poison {
-        faults.spawn(load::resend(world.clone(), poison));
+        faults.spawn(load::send_poison(world.clone(), poison));
     }
     if config.restores {
         let restores = restore::draw(config.seed, config.length);
-        faults.spawn(restore::play(world.clone(), restores));
+        faults.spawn(restore::run(world.clone(), restores));
     }
     for event in &plan {
-        faults.spawn(world.clone().play(*event));
+        faults.spawn(world.clone().inject(*event));
     }
     while faults.join_next().await.is_some() {}
-    world.heal();
-    whole(&world).await;
+    world.clear_faults();
+    wait_recovered(&world).await;
     stop.store(true, Ordering::Relaxed);
     while load.join_next().await.is_some() {}
-    world.check_fatal();
+    world.check_poison();
     Report {
         seed: config.seed,
         faults: plan.len(),
-        ends: world.record.ends(),
-        breaches: world.record.judge(&world.arrivals()),
+        status_counts: world.record.status_counts(),
+        violations: world.record.check(&world.arrivals()),
         logs: world.members.iter().map(world::Member::log).collect(),
     }
 }
 
-/// Waits until every node serves the newest desired state.
-async fn whole(world: &World) {
-    let end = Instant::now() + RECOVERS_WITHIN;
+/// Waits until every node serves the newest desired state. Records a violation
+/// after [`RECOVERY_TIMEOUT`].
+async fn wait_recovered(world: &World) {
+    let end = Instant::now() + RECOVERY_TIMEOUT;
     for node in 0..world.members.len() {
         loop {
             let version = world.version();
-            if load::has(world, node, version).await == Some(true) {
+            if load::has_version(world, node, version).await == Some(true) {
                 break;
             }
             if Instant::now() > end {
-                let seen = format!("node {node} does not serve again");
-                return world.record.breach("recovers", seen);
+                let detail = format!("node {node} has not recovered");
+                return world.record.record_violation("recovers", detail);
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
--- a/crates/walnutmoor-standin/src/soak/plan.rs
+++ b/crates/walnutmoor-standin/src/soak/plan.rs
@@ -1,6 +1,5 @@
 /*!
-What goes wrong in a run, drawn from its seed: faults that begin at any moment,
-last for a while and overlap.
+The fault plan of a run, drawn from its seed. Faults may overlap.
 */
 
 use std::time::Duration;
@@ -13,123 +12,122 @@
 use super::proxy::Mode;
 use crate::mesh::instance::Behavior;
 
-/// A connection that a proxy stands in.
+/// A connection that passes through a proxy, by the index of its node.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Link {
-    /// What other nodes open to a node.
+    /// From other nodes to a node.
     Peers(usize),
-    /// What a node opens to the store.
+    /// From a node to the store.
     Store(usize),
-    /// What a node opens to its instance.
+    /// From a node to its instance.
     Server(usize),
 }
 
-/// One thing that goes wrong.
+/// A fault to inject. `usize` fields are indices of nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// A node is killed and starts again.
+    /// Kills a node and restarts it.
     Kill(usize),
-    /// A node stands still.
+    /// Stops a node process with SIGSTOP and resumes it.
     Pause(usize),
-    /// A node is told to end, and starts again.
+    /// Terminates a node with SIGTERM and restarts it.
     Term(usize),
-    /// A node is told to read its settings.
+    /// Makes a node reload its settings with SIGHUP.
     Reload(usize),
-    /// All nodes are killed and start again.
+    /// Kills all nodes and restarts them.
     KillAll,
-    /// A link is harmed.
-    Harm(Link, Mode),
-    /// Connections of a link are reset.
-    Reset(Link),
-    /// The store refuses every call.
+    /// Delays, stalls or refuses traffic of a link.
+    DegradeLink(Link, Mode),
+    /// Resets the open connections of a link.
+    ResetLink(Link),
+    /// The store responds with 503 to every call.
     StoreDown,
-    /// The store does what it is told and does not answer.
-    StoreMute,
-    /// The store forgets its history.
-    StoreForgets,
-    /// An instance misbehaves.
-    Mood(usize, Behavior),
-    /// An instance takes longer.
+    /// The store applies calls but drops its responses.
+    StoreDropResponses,
+    /// The store compacts its history.
+    StoreCompact,
+    /// An instance handles requests in a faulty way.
+    Misbehave(usize, Behavior),
+    /// An instance takes this long for a run.
     Slow(usize, Duration),
-    /// An instance drains, goes, and another lifetime takes its place.
-    Replace(usize, Farewell),
-    /// The operator changes the desired state, so often.
-    Change(u32),
+    /// An instance leaves and a new one takes its address.
+    Replace(usize, Departure),
+    /// The operator changes the desired state this many times.
+    ChangeDesired(u32),
 }
 
-/// A request that ends the instances that run it, and comes again.
+/// The schedule of a request that crashes instances and is sent repeatedly.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Poison {
-    /// When it comes first.
+    /// When it is sent first, from the start of the run.
     pub at: Duration,
-    /// How long it goes on to come.
+    /// How long it is sent.
     pub span: Duration,
-    /// The pause between two of its attempts.
-    pub pause: Duration,
-    /// How many nodes it comes to in the same moment.
+    /// The interval between two attempts.
+    pub interval: Duration,
+    /// The number of nodes that it is sent to at once.
     pub nodes: usize,
-    /// How long an instance that ended is away.
-    pub down: Duration,
+    /// The downtime of a crashed instance.
+    pub downtime: Duration,
 }
 
-/// The poison of a run. It is drawn apart from the faults, so that those of
-/// a seed stay as they were.
-pub fn poison(seed: u64, nodes: usize, length: Duration) -> Poison {
+/// Draws the poison schedule of a run. It has its own generator, so that the
+/// faults of a seed don't depend on it.
+pub fn draw_poison(seed: u64, nodes: usize, length: Duration) -> Poison {
     let rng = ChaCha8Rng::seed_from_u64(!seed);
-    let mut draw = Draw { rng, nodes };
+    let mut draw = Sampler { rng, nodes };
     let length = length.as_millis() as u64;
     let at = draw.below(length / 3);
-    let pause = 60 + draw.below(300);
+    let interval = 60 + draw.below(300);
     let all = draw.below(4) == 0;
     Poison {
         at: Duration::from_millis(at),
         span: Duration::from_millis(length - at),
-        pause: Duration::from_millis(pause),
+        interval: Duration::from_millis(interval),
         nodes: if all { nodes } else { 1 },
-        down: Duration::from_millis(300 + draw.below(1_500)),
+        downtime: Duration::from_millis(300 + draw.below(1_500)),
     }
 }
 
 /// How an instance leaves.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Farewell {
-    /// It says that it drains, finishes what it has, and says goodbye.
+pub enum Departure {
+    /// Reports itself as not ready, finishes its runs, and sends a goodbye.
     Drain,
-    /// It says goodbye and finishes what it has.
+    /// Sends a goodbye and finishes its runs.
     Goodbye,
-    /// It is gone without a word.
+    /// Stops at once, without draining.
     Crash,
 }
 
-/// A fault with its moment.
+/// A fault and its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Event {
-    /// When it begins.
+    /// When it begins, from the start of the run.
     pub at: Duration,
     /// How long it lasts.
     pub span: Duration,
-    /// What it is.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// The mean pause between two faults; with spans of up to three seconds some
-/// four of them overlap.
-const PAUSE: u64 = 400;
+/// The mean interval between two faults, in milliseconds.
+const MEAN_FAULT_INTERVAL_MS: u64 = 400;
 
-/// The longest that a fault lasts, in milliseconds.
-const SPAN_MAX: u64 = 3_000;
+/// Upper bound of the duration of a fault, in milliseconds.
+const MAX_FAULT_SPAN_MS: u64 = 3_000;
 
-/// The faults of a run.
+/// Draws the faults of a run.
 pub fn draw(seed: u64, nodes: usize, length: Duration) -> Vec<Event> {
-    let mut draw = Draw { rng: ChaCha8Rng::seed_from_u64(seed), nodes };
+    let mut draw = Sampler { rng: ChaCha8Rng::seed_from_u64(seed), nodes };
     let mut events = Vec::new();
     let mut at = 0;
     loop {
-        at += draw.below(2 * PAUSE);
+        at += draw.below(2 * MEAN_FAULT_INTERVAL_MS);
         if u128::from(at) >= length.as_millis() {
             return events;
         }
-        let span = 200 + draw.below(SPAN_MAX - 200);
+        let span = 200 + draw.below(MAX_FAULT_SPAN_MS - 200);
         events.push(Event {
             at: Duration::from_millis(at),
             span: Duration::from_millis(span),
@@ -138,17 +136,18 @@
     }
 }
 
-struct Draw {
+/// Draws random values. The order of draws determines the plan of a seed.
+struct Sampler {
     rng: ChaCha8Rng,
     nodes: usize,
 }
 
-impl Draw {
+impl Sampler {
     fn below(&mut self, bound: u64) -> u64 {
         self.rng.next_u64() % bound
     }
 
-    fn of<T: Copy>(&mut self, all: &[T]) -> T {
+    fn choose<T: Copy>(&mut self, all: &[T]) -> T {
         all[self.below(all.len() as u64) as usize]
     }
 
@@ -159,7 +158,7 @@
     fn link(&mut self) -> Link {
         let node = self.node();
         let peers = Link::Peers(node);
-        self.of(&[peers, peers, Link::Store(node), Link::Server(node)])
+        self.choose(&[peers, peers, Link::Store(node), Link::Server(node)])
     }
 
     fn fault(&mut self) -> Fault {
@@ -170,38 +169,38 @@
             4 | 5 => Fault::Term(node),
             6 => Fault::Reload(node),
             7 if self.below(3) == 0 => Fault::KillAll,
-            7..=9 => Fault::Harm(self.link(), self.mode()),
-            10 | 11 => Fault::Reset(self.link()),
+            7..=9 => Fault::DegradeLink(self.link(), self.mode()),
+            10 | 11 => Fault::ResetLink(self.link()),
             12 => Fault::StoreDown,
-            13 => Fault::StoreMute,
-            14 => Fault::StoreForgets,
-            15 | 16 => Fault::Mood(node, self.mood()),
+            13 => Fault::StoreDropResponses,
+            14 => Fault::StoreCompact,
+            15 | 16 => Fault::Misbehave(node, self.behavior()),
             17 => {
                 let span = Duration::from_millis(20 + self.below(300));
                 Fault::Slow(node, span)
             }
             18 => {
-                let ways =
-                    [Farewell::Drain, Farewell::Goodbye, Farewell::Crash];
-                Fault::Replace(node, self.of(&ways))
+                let departures =
+                    [Departure::Drain, Departure::Goodbye, Departure::Crash];
+                Fault::Replace(node, self.choose(&departures))
             }
-            _ => Fault::Change(1 + self.below(4) as u32),
+            _ => Fault::ChangeDesired(1 + self.below(4) as u32),
         }
     }
 
     fn mode(&mut self) -> Mode {
         let span = Duration::from_millis(5 + self.below(200));
-        self.of(&[
-            Mode::Slow(span),
-            Mode::CutThere,
-            Mode::CutBack,
-            Mode::Silent,
-            Mode::Refuses,
+        self.choose(&[
+            Mode::Delay(span),
+            Mode::StallToTarget,
+            Mode::StallFromTarget,
+            Mode::StallBoth,
+            Mode::Refuse,
         ])
     }
 
-    fn mood(&mut self) -> Behavior {
-        self.of(&[
+    fn behavior(&mut self) -> Behavior {
+        self.choose(&[
             Behavior::DropsResponses,
             Behavior::Sheds,
             Behavior::Fails,
--- a/crates/walnutmoor-standin/src/soak/proxy.rs
+++ b/crates/walnutmoor-standin/src/soak/proxy.rs
@@ -1,9 +1,8 @@
 /*!
-A proxy on the loopback that delays, holds back, resets or refuses what goes
-through it.
+A loopback TCP proxy that can delay, stall, reset or refuse connections.
 
-Bytes that are held back are not lost: they come through when the fault ends,
-as a network's retransmissions do, unless a side has given up by then.
+Stalled bytes are not lost. They are forwarded when the fault ends, as after
+retransmissions, unless one side has closed the connection by then.
 */
 
 use std::{
@@ -23,37 +22,37 @@
     task::JoinHandle,
 };
 
-/// What the proxy does with connections.
+/// How the proxy handles connections.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Mode {
-    /// Passes everything on.
+    /// Forwards everything.
     #[default]
-    Open,
-    /// Passes everything on after this long.
-    Slow(Duration),
-    /// Holds back what is sent to the target.
-    CutThere,
-    /// Holds back what the target sends.
-    CutBack,
-    /// Holds back everything.
-    Silent,
+    Forward,
+    /// Forwards everything after a delay.
+    Delay(Duration),
+    /// Stalls bytes sent to the target.
+    StallToTarget,
+    /// Stalls bytes sent by the target.
+    StallFromTarget,
+    /// Stalls both directions.
+    StallBoth,
     /// Resets new connections.
-    Refuses,
+    Refuse,
 }
 
-/// The way that bytes go.
+/// The direction of a byte stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Way {
-    There,
-    Back,
+enum Direction {
+    ToTarget,
+    FromTarget,
 }
 
 impl Mode {
-    fn holds(self, way: Way) -> bool {
+    fn stalls(self, direction: Direction) -> bool {
         match self {
-            Mode::Silent => true,
-            Mode::CutThere => way == Way::There,
-            Mode::CutBack => way == Way::Back,
+            Mode::StallBoth => true,
+            Mode::StallToTarget => direction == Direction::ToTarget,
+            Mode::StallFromTarget => direction == Direction::FromTarget,
             _ => false,
         }
     }
@@ -64,11 +63,11 @@
 pub struct Proxy {
     address: SocketAddr,
     mode: watch::Sender<Mode>,
-    open: Mutex<Vec<JoinHandle<()>>>,
+    tasks: Mutex<Vec<JoinHandle<()>>>,
 }
 
 impl Proxy {
-    /// Starts one on a free port of the loopback.
+    /// Starts a proxy for `target` on a free loopback port.
     ///
     /// # Panics
     ///
@@ -76,93 +75,97 @@
     pub async fn start(target: SocketAddr) -> Arc<Proxy> {
         let any: SocketAddr = ([127, 0, 0, 1], 0).into();
         let listener = TcpListener::bind(any).await.expect("a free port");
-        let (mode, _) = watch::channel(Mode::Open);
+        let (mode, _) = watch::channel(Mode::Forward);
         let proxy = Arc::new(Proxy {
             address: listener.local_addr().expect("a bound port"),
             mode,
-            open: Mutex::default(),
+            tasks: Mutex::default(),
         });
         tokio::spawn(accept(proxy.clone(), listener, target));
         proxy
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes what becomes of bytes and connections.
-    pub fn set(&self, mode: Mode) {
+    /// Sets how it handles connections, including the open ones.
+    pub fn set_mode(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 
-    /// Resets all connections that are open.
+    /// Resets all open connections.
     pub fn reset(&self) {
-        let open = std::mem::take(&mut *self.lock());
-        for task in open {
+        let tasks = std::mem::take(&mut *self.lock());
+        for task in tasks {
             task.abort();
         }
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Vec<JoinHandle<()>>> {
-        self.open.lock().expect("no holder panics")
+        self.tasks.lock().expect("no holder panics")
     }
 }
 
-async fn accept(proxy: Arc<Proxy>, listener: TcpListener, to: SocketAddr) {
+async fn accept(proxy: Arc<Proxy>, listener: TcpListener, target: SocketAddr) {
     while let Ok((stream, _)) = listener.accept().await {
-        // A connection that is dropped is then reset, not closed.
+        // With zero linger, dropping the stream resets the connection.
         let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         let mode = proxy.mode.subscribe();
-        if *mode.borrow() == Mode::Refuses {
+        if *mode.borrow() == Mode::Refuse {
             continue;
         }
-        let task = tokio::spawn(carry(stream, to, mode));
-        let mut open = proxy.lock();
-        open.retain(|task| !task.is_finished());
-        open.push(task);
+        let task = tokio::spawn(forward(stream, target, mode));
+        let mut tasks = proxy.lock();
+        tasks.retain(|task| !task.is_finished());
+        tasks.push(task);
     }
 }
 
-async fn carry(from: TcpStream, to: SocketAddr, mode: watch::Receiver<Mode>) {
-    let Ok(to) = TcpStream::connect(to).await else {
+async fn forward(
+    client: TcpStream,
+    target: SocketAddr,
+    mode: watch::Receiver<Mode>,
+) {
+    let Ok(target) = TcpStream::connect(target).await else {
         return;
     };
-    let _ = SockRef::from(&to).set_linger(Some(Duration::ZERO));
-    let _ = (from.set_nodelay(true), to.set_nodelay(true));
-    let (from_read, from_write) = from.into_split();
-    let (to_read, to_write) = to.into_split();
+    let _ = SockRef::from(&target).set_linger(Some(Duration::ZERO));
+    let _ = (client.set_nodelay(true), target.set_nodelay(true));
+    let (client_read, client_write) = client.into_split();
+    let (target_read, target_write) = target.into_split();
     tokio::join!(
-        pump(from_read, to_write, Way::There, mode.clone()),
-        pump(to_read, from_write, Way::Back, mode),
+        copy(client_read, target_write, Direction::ToTarget, mode.clone()),
+        copy(target_read, client_write, Direction::FromTarget, mode),
     );
 }
 
-/// Passes bytes on in one direction until it ends.
-async fn pump(
+/// Copies bytes in one direction until the end of the stream.
+async fn copy(
     mut read: OwnedReadHalf,
     mut write: OwnedWriteHalf,
-    way: Way,
+    direction: Direction,
     mut mode: watch::Receiver<Mode>,
 ) {
-    let mut bytes = vec![0; 16 << 10];
+    let mut buffer = vec![0; 16 << 10];
     loop {
-        let Ok(count) = read.read(&mut bytes).await else {
+        let Ok(count) = read.read(&mut buffer).await else {
             return;
         };
-        let now = *mode.borrow();
-        if let Mode::Slow(span) = now {
+        let current = *mode.borrow();
+        if let Mode::Delay(span) = current {
             tokio::time::sleep(span).await;
         }
-        if mode.wait_for(|mode| !mode.holds(way)).await.is_err() {
+        if mode.wait_for(|mode| !mode.stalls(direction)).await.is_err() {
             return;
         }
         if count == 0 {
-            // The other side has closed its half; so does this one.
+            // Passes on the half-close.
             let _ = write.shutdown().await;
             return;
         }
-        if write.write_all(&bytes[..count]).await.is_err() {
+        if write.write_all(&buffer[..count]).await.is_err() {
             return;
         }
     }
--- a/crates/walnutmoor-standin/src/soak/restore.rs
+++ b/crates/walnutmoor-standin/src/soak/restore.rs
@@ -1,9 +1,9 @@
 /*!
-Restores of the store from older copies, beside all other faults.
+Restores of the store from older snapshots, during the other faults.
 
-The store is away for a moment and comes back as it was some seconds ago. What
-nodes wrote since is gone; the operator writes the newest desired state again a
-little later, and then the next one.
+The store goes down and is restored to an earlier state, so that the nodes'
+later writes are lost. After a delay the operator writes the newest desired
+state again, and then the next version.
 */
 
 use std::{sync::Arc, time::Duration};
@@ -17,56 +17,56 @@
 use super::world::World;
 use crate::mesh::store::{PendingWatches, Snapshot};
 
-/// The pause between two copies.
-const COPY_EACH: Duration = Duration::from_millis(200);
+/// The interval between two snapshots.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How many copies back a restore goes at most; a copy is some six seconds old
-/// then.
-const AGE_MAX: u64 = 30;
+/// Upper bound of the age of a restored snapshot, in snapshots.
+const MAX_AGE_SNAPSHOTS: u64 = 30;
 
-/// The mean pause between two restores.
-const PAUSE: u64 = 4_000;
+/// The mean of the random part of the delay before a restore, in milliseconds.
+const MEAN_RESTORE_INTERVAL_MS: u64 = 4_000;
 
-/// Tells the restores of a seed from its other faults.
-const SALT: u64 = 0x7265_7374_6f72_6564;
+/// Separates the generator of the restores from that of the other faults.
+const SEED_SALT: u64 = 0x7265_7374_6f72_6564;
 
 /// One restore.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Restore {
-    /// The pause before it.
-    pub after: Duration,
-    /// Changes that the store acknowledges and loses.
-    pub lost: u32,
-    /// How many copies back it goes.
-    pub age: usize,
-    /// How long the store is away.
-    pub away: Duration,
-    /// What becomes of watches.
+    /// The delay before it.
+    pub delay: Duration,
+    /// The number of acknowledged changes that the store loses.
+    pub lost_changes: u32,
+    /// The age of the restored snapshot, in snapshots.
+    pub age_snapshots: usize,
+    /// How long the store is down.
+    pub downtime: Duration,
+    /// What happens to pending watches.
     pub watches: PendingWatches,
-    /// How long until the operator writes again.
-    pub again: Duration,
+    /// The delay until the operator writes the desired state again.
+    pub rewrite_delay: Duration,
 }
 
-/// The restores of a run. They are drawn apart from the other faults, so that
-/// those of a seed stay as they were.
+/// Draws the restores of a run. They have their own generator, so that the
+/// other faults of a seed don't depend on them.
 pub fn draw(seed: u64, length: Duration) -> Vec<Restore> {
-    let mut rng = ChaCha8Rng::seed_from_u64(seed ^ SALT);
+    let mut rng = ChaCha8Rng::seed_from_u64(seed ^ SEED_SALT);
     let mut below = |bound: u64| rng.next_u64() % bound;
     let mut restores = Vec::new();
     let mut at = Duration::ZERO;
     loop {
-        let after = Duration::from_millis(500 + below(2 * PAUSE));
+        let delay =
+            Duration::from_millis(500 + below(2 * MEAN_RESTORE_INTERVAL_MS));
         let watches = [PendingWatches::Disconnect, PendingWatches::Hang]
             [below(2) as usize];
         let restore = Restore {
-            after,
-            lost: below(4) as u32,
-            age: below(AGE_MAX) as usize,
-            away: Duration::from_millis(below(3_000)),
+            delay,
+            lost_changes: below(4) as u32,
+            age_snapshots: below(MAX_AGE_SNAPSHOTS) as usize,
+            downtime: Duration::from_millis(below(3_000)),
             watches,
-            again: Duration::from_millis(below(2_500)),
+            rewrite_delay: Duration::from_millis(below(2_500)),
         };
-        at += restore.after + restore.away + restore.again;
+        at += restore.delay + restore.downtime + restore.rewrite_delay;
         if at >= length {
             return restores;
         }
@@ -74,30 +74,32 @@
     }
 }
 
-/// Plays the restores one after the other.
-pub async fn play(world: Arc<World>, restores: Vec<Restore>) {
+/// Executes the restores in order.
+pub async fn run(world: Arc<World>, restores: Vec<Restore>) {
     for restore in restores {
-        let copies = keep_copies(&world, restore.after).await;
-        world.change(restore.lost).await;
-        world.hold_store_down(restore.away).await;
-        let newest = copies.len().saturating_sub(1);
-        let Some(copy) = copies.get(newest.saturating_sub(restore.age)) else {
+        let snapshots = take_snapshots(&world, restore.delay).await;
+        world.change_desired(restore.lost_changes).await;
+        world.take_store_down(restore.downtime).await;
+        let newest = snapshots.len().saturating_sub(1);
+        let Some(snapshot) =
+            snapshots.get(newest.saturating_sub(restore.age_snapshots))
+        else {
             continue;
         };
-        world.restore_store(copy, restore.watches);
-        sleep(restore.again).await;
-        world.write_again();
-        world.change(1).await;
+        world.restore_store(snapshot, restore.watches);
+        sleep(restore.rewrite_delay).await;
+        world.rewrite_desired();
+        world.change_desired(1).await;
     }
 }
 
-/// Copies the store again and again for a while; the oldest copy first.
-async fn keep_copies(world: &World, span: Duration) -> Vec<Snapshot> {
+/// Takes snapshots of the store for a while. The oldest is first.
+async fn take_snapshots(world: &World, span: Duration) -> Vec<Snapshot> {
     let end = Instant::now() + span;
-    let mut copies = Vec::new();
+    let mut snapshots = Vec::new();
     while Instant::now() < end {
-        copies.push(world.snapshot_store());
-        sleep(COPY_EACH).await;
+        snapshots.push(world.snapshot_store());
+        sleep(SNAPSHOT_INTERVAL).await;
     }
-    copies
+    snapshots
 }
--- a/crates/walnutmoor-standin/src/soak/verdict.rs
+++ b/crates/walnutmoor-standin/src/soak/verdict.rs
@@ -1,5 +1,5 @@
 /*!
-What was promised, checked against what callers and instances saw.
+Invariants of a soak, checked against what callers and instances saw.
 */
 
 use std::{
@@ -13,166 +13,181 @@
 
 use crate::mesh::instance::Arrival;
 
-/// Repeats that a service may get for each request to it.
-pub const RATIO: f64 = 0.2;
+/// The retry budget of a service, as a ratio of its requests.
+pub const RETRY_RATIO: f64 = 0.2;
 
-/// Repeats that a service may get in a window besides.
-pub const SLACK: f64 = 20.0;
+/// The retries of a service allowed per window in addition to the ratio.
+pub const RETRY_SLACK: f64 = 20.0;
 
-/// The span over which repeats are counted.
-pub const WINDOW: Duration = Duration::from_secs(10);
+/// The window of the retry budget.
+pub const RETRY_WINDOW: Duration = Duration::from_secs(10);
 
-/// A promise that was not kept.
+/// A violated invariant.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Breach {
-    /// Which promise.
-    pub promise: &'static str,
-    /// What was seen.
-    pub seen: String,
+pub struct Violation {
+    /// The name of the invariant.
+    pub invariant: &'static str,
+    /// What was observed.
+    pub detail: String,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.promise, self.seen)
+        write!(f, "{}: {}", self.invariant, self.detail)
     }
 }
 
-/// A request that a caller has sent, and its end.
+/// A request of a caller and its response.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct Exchange {
     /// The id of the attempt.
     pub id: String,
-    /// The service that its route leads to.
+    /// The target service of its route.
     pub service: Service,
-    /// Whether it may run again.
+    /// Whether it may run more than once.
     pub effect: Effect,
     /// When it was sent.
     pub at: Instant,
-    /// Status and body of the answer; `None` if there was no whole one.
-    pub answer: Option<(u16, String)>,
+    /// The status and body of the response. `None` if none arrived
+    /// completely.
+    pub response: Option<(u16, String)>,
 }
 
-/// How requests ended, by status; 0 where there was no whole answer.
-pub type Ends = BTreeMap<u16, u32>;
+/// The number of requests by response status, with 0 for no response.
+pub type StatusCounts = BTreeMap<u16, u32>;
 
-/// Everything that was seen in a run.
+/// The observations of a run.
 #[derive(Debug, Default)]
 pub struct Record {
-    sent: Mutex<Vec<Sent>>,
-    breaches: Mutex<Vec<Breach>>,
+    exchanges: Mutex<Vec<Exchange>>,
+    violations: Mutex<Vec<Violation>>,
 }
 
 impl Record {
-    /// A request has come to its end.
-    pub fn sent(&self, sent: Sent) {
-        self.sent.lock().expect("no holder panics").push(sent);
+    /// Records a finished exchange.
+    pub fn record_exchange(&self, exchange: Exchange) {
+        self.exchanges.lock().expect("no holder panics").push(exchange);
     }
 
-    /// A promise was seen broken while the run went on.
-    pub fn breach(&self, promise: &'static str, seen: String) {
-        let mut breaches = self.breaches.lock().expect("no holder panics");
-        breaches.push(Breach { promise, seen });
+    /// Records a violation observed during the run.
+    pub fn record_violation(&self, invariant: &'static str, detail: String) {
+        let mut violations = self.violations.lock().expect("no holder panics");
+        violations.push(Violation { invariant, detail });
     }
 
-    /// How requests ended.
-    pub fn ends(&self) -> Ends {
-        let mut ends = Ends::new();
-        for sent in &*self.sent.lock().expect("no holder panics") {
-            let status = sent.answer.as_ref().map_or(0, |(s, _)| *s);
-            *ends.entry(status).or_default() += 1;
+    /// The number of requests by response status.
+    pub fn status_counts(&self) -> StatusCounts {
+        let mut status_counts = StatusCounts::new();
+        for exchange in &*self.exchanges.lock().expect("no holder panics") {
+            let status = exchange.response.as_ref().map_or(0, |(s, _)| *s);
+            *status_counts.entry(status).or_default() += 1;
         }
-        ends
+        status_counts
     }
 
-    /// All promises that were not kept. `arrivals` is what instances got.
-    pub fn judge(&self, arrivals: &[Arrival]) -> Vec<Breach> {
-        let mut breaches =
-            self.breaches.lock().expect("no holder panics").clone();
-        let sent = self.sent.lock().expect("no holder panics");
+    /// Checks all invariants and returns the violations, including those
+    /// recorded during the run. `arrivals` are the requests that reached
+    /// instances.
+    pub fn check(&self, arrivals: &[Arrival]) -> Vec<Violation> {
+        let mut violations =
+            self.violations.lock().expect("no holder panics").clone();
+        let exchanges = self.exchanges.lock().expect("no holder panics");
         let mut runs: BTreeMap<&str, u32> = BTreeMap::new();
         for arrival in arrivals.iter().filter(|arrival| arrival.ran) {
             *runs.entry(&arrival.id).or_default() += 1;
         }
-        for each in &*sent {
-            let runs = runs.get(each.id.as_str()).copied().unwrap_or(0);
-            breaches.extend(check(each, runs));
+        for exchange in &*exchanges {
+            let runs = runs.get(exchange.id.as_str()).copied().unwrap_or(0);
+            violations.extend(check_exchange(exchange, runs));
         }
         let known: BTreeSet<&str> =
-            sent.iter().map(|sent| sent.id.as_str()).collect();
-        let strange = |id: &&&str| !known.contains(**id) && !is_probe(id);
-        for id in runs.keys().filter(strange) {
-            let seen = format!("{id} ran and nobody sent it");
-            breaches.push(Breach { promise: "asked for", seen });
+            exchanges.iter().map(|exchange| exchange.id.as_str()).collect();
+        let unknown = |id: &&&str| !known.contains(**id) && !is_probe(id);
+        for id in runs.keys().filter(unknown) {
+            let detail = format!("{id} ran but no caller sent it");
+            violations.push(Violation { invariant: "asked for", detail });
         }
-        breaches.extend(repeats(&sent, arrivals));
-        breaches
+        violations.extend(check_retries(&exchanges, arrivals));
+        violations
     }
 }
 
-/// Probes of the desired state are sent for what they are answered only.
+/// True for probes and fatal requests, which are not recorded as exchanges.
 fn is_probe(id: &str) -> bool {
     id.starts_with("probe-")
 }
 
-/// Checks one request against how often it ran.
-fn check(sent: &Sent, runs: u32) -> Option<Breach> {
-    let id = &sent.id;
-    let breach = |promise, seen| Some(Breach { promise, seen });
-    if sent.effect == Effect::Once && runs > 1 {
-        return breach("once", format!("{id} ran {runs} times"));
+/// Checks a response against the number of runs of its request.
+fn check_exchange(exchange: &Exchange, runs: u32) -> Option<Violation> {
+    let id = &exchange.id;
+    let violation = |invariant, detail| Some(Violation { invariant, detail });
+    if exchange.effect == Effect::Once && runs > 1 {
+        return violation("once", format!("{id} ran {runs} times"));
     }
-    match &sent.answer {
-        Some((status @ (408 | 421 | 429 | 503), _)) if runs > 0 => {
-            breach("not run", format!("{id} got {status} and ran {runs}"))
-        }
+    match &exchange.response {
+        Some((status @ (408 | 421 | 429 | 503), _)) if runs > 0 => violation(
+            "not run",
+            format!("{id} got {status} but ran {runs} times"),
+        ),
         Some((200, body)) if !body.contains(&format!(" {id} ")) => {
-            breach("own answer", format!("{id} got `{body}`"))
+            violation("own answer", format!("{id} got `{body}`"))
         }
         Some((200, _)) if runs == 0 => {
-            breach("own answer", format!("{id} got 200 and never ran"))
+            violation("own answer", format!("{id} got 200 but never ran"))
         }
         Some((status @ (400 | 404 | 413), _)) => {
-            breach("allowed", format!("{id} got {status}"))
+            violation("allowed", format!("{id} got {status}"))
         }
         _ => None,
     }
 }
 
-/// Checks that no window of a service holds more repeats than it may.
-fn repeats(sent: &[Sent], arrivals: &[Arrival]) -> Vec<Breach> {
+/// Checks that no service exceeds its retry budget in any window.
+fn check_retries(
+    exchanges: &[Exchange],
+    arrivals: &[Arrival],
+) -> Vec<Violation> {
     let services: BTreeSet<&Service> =
-        sent.iter().map(|sent| &sent.service).collect();
-    let over = services.into_iter().filter_map(|service| {
-        let asked = sent.iter().filter(|sent| sent.service == *service);
-        let asked: Vec<Instant> = asked.map(|sent| sent.at).collect();
-        let of = arrivals.iter().filter(|a| a.service == *service);
-        overrun(&asked, of.collect()).map(|seen| Breach {
-            promise: "few repeats",
-            seen: format!("{service}: {seen}"),
+        exchanges.iter().map(|exchange| &exchange.service).collect();
+    let violations = services.into_iter().filter_map(|service| {
+        let requests =
+            exchanges.iter().filter(|exchange| exchange.service == *service);
+        let requests: Vec<Instant> =
+            requests.map(|exchange| exchange.at).collect();
+        let own = arrivals.iter().filter(|a| a.service == *service);
+        exceeded_window(&requests, own.collect()).map(|detail| Violation {
+            invariant: "few repeats",
+            detail: format!("{service}: {detail}"),
         })
     });
-    over.collect()
+    violations.collect()
 }
 
-fn overrun(asked: &[Instant], mut of: Vec<&Arrival>) -> Option<String> {
-    of.sort_by_key(|arrival| arrival.at);
-    let mut seen = BTreeSet::new();
-    let again = of.iter().filter(|arrival| !seen.insert(&arrival.id));
-    let again: Vec<Instant> = again.map(|arrival| arrival.at).collect();
-    let within = |times: &[Instant], to: Instant| {
-        let from = to.checked_sub(WINDOW);
-        let inside =
-            |at: &&Instant| **at <= to && from.is_none_or(|from| **at > from);
+/// Describes the first window with too many retries, if there is one.
+fn exceeded_window(
+    requests: &[Instant],
+    mut arrivals: Vec<&Arrival>,
+) -> Option<String> {
+    arrivals.sort_by_key(|arrival| arrival.at);
+    let mut ids = BTreeSet::new();
+    let retries = arrivals.iter().filter(|arrival| !ids.insert(&arrival.id));
+    let retries: Vec<Instant> = retries.map(|arrival| arrival.at).collect();
+    let count_in_window = |times: &[Instant], end: Instant| {
+        let start = end.checked_sub(RETRY_WINDOW);
+        let inside = |at: &&Instant| {
+            **at <= end && start.is_none_or(|start| **at > start)
+        };
         times.iter().filter(inside).count()
     };
-    again.iter().find_map(|end| {
-        let half = end.checked_sub(WINDOW / 2);
-        let before = end.checked_sub(WINDOW);
-        let windows = [Some(*end), half, before].into_iter().flatten();
-        let most = windows.map(|to| within(asked, to)).max()?;
-        let repeats = within(&again, *end);
-        let allowed = most as f64 * RATIO + SLACK;
-        let over = repeats as f64 > allowed;
-        over.then(|| format!("{repeats} repeats of {most} requests"))
+    retries.iter().find_map(|end| {
+        let half = end.checked_sub(RETRY_WINDOW / 2);
+        let full = end.checked_sub(RETRY_WINDOW);
+        let windows = [Some(*end), half, full].into_iter().flatten();
+        let max_requests =
+            windows.map(|end| count_in_window(requests, end)).max()?;
+        let count = count_in_window(&retries, *end);
+        let allowed = max_requests as f64 * RETRY_RATIO + RETRY_SLACK;
+        let exceeded = count as f64 > allowed;
+        exceeded.then(|| format!("{count} retries of {max_requests} requests"))
     })
 }
--- a/crates/walnutmoor-standin/src/soak/world.rs
+++ b/crates/walnutmoor-standin/src/soak/world.rs
@@ -1,6 +1,6 @@
 /*!
-The world of a run: the store, nodes as processes, their instances, and
-proxies on every connection between them.
+The environment of a run: the store, the node processes, their instances, and
+the proxies between them.
 */
 
 use std::{
@@ -23,8 +23,8 @@
 use walnutmoor_platform::standin;
 
 use super::{
-    load::FATAL,
-    plan::{Event, Farewell, Fault, Link},
+    load::FATAL_BODY,
+    plan::{Departure, Event, Fault, Link},
     proxy::{Mode, Proxy},
     verdict::{self, Record},
 };
@@ -41,30 +41,30 @@
 /// The host of all routes.
 pub const HOST: &str = "shop.example";
 
-/// How long an instance goes on after it has said that it leaves.
-const DRAINS_FOR: Duration = Duration::from_millis(2_500);
+/// How long an instance keeps running after it has announced its departure.
+const DRAIN_DURATION: Duration = Duration::from_millis(2_500);
 
-/// How late a request may reach an instance that has been told that its leave
-/// is known.
-const DRAIN: Duration = Duration::from_millis(2_000);
+/// How long requests may still reach an instance after its node has
+/// acknowledged its departure.
+const DRAIN_GRACE: Duration = Duration::from_millis(2_000);
 
-/// How long a node in touch has to hear of a request that ends instances, and
-/// must have been free of trouble to count as in touch.
-const KNOWN_WITHIN: Duration = Duration::from_millis(3_000);
+/// How long the fatal request may take to become known to all nodes. A node
+/// counts as undisturbed if it had no disruption for this long.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// How often such a request may reach an instance after that.
-const LATE_MAX: usize = 3;
+/// The allowed runs of the fatal request beside undisturbed nodes after that.
+const MAX_LATE_RUNS: usize = 3;
 
-/// How long an address rests before another instance gets it.
-const REUSE_AFTER: Duration = Duration::from_millis(2_000);
+/// The delay before another instance reuses an address.
+const ADDRESS_REUSE_DELAY: Duration = Duration::from_millis(2_000);
 
-/// One node with its instance and the proxies around it.
+/// A node with its instance and proxies.
 pub struct Member {
     service: Service,
     node: Mutex<Node>,
-    /// False while the run itself has ended the process.
+    /// False while the process is down because of a fault.
     up: AtomicBool,
-    life: AtomicU64,
+    incarnation: AtomicU64,
     instance: Mutex<Arc<Instance>>,
     leaving: AtomicBool,
     peers: Arc<Proxy>,
@@ -78,18 +78,18 @@
         self.lock().addresses()
     }
 
-    /// Lives of the node so far.
-    pub fn life(&self) -> u64 {
-        self.life.load(Ordering::SeqCst)
+    /// A number that increases whenever a fault takes the process down.
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation.load(Ordering::SeqCst)
     }
 
-    /// True if the process has ended though the run did not end it.
-    pub fn has_ended_by_itself(&self) -> bool {
+    /// True if the process has exited without a fault that takes it down.
+    pub fn has_exited_unexpectedly(&self) -> bool {
         let mut node = self.lock();
         self.up.load(Ordering::SeqCst) && node.has_exited()
     }
 
-    /// What the node wrote.
+    /// The log of the node.
     pub fn log(&self) -> String {
         self.lock().log()
     }
@@ -102,7 +102,7 @@
         self.instance.lock().expect("no holder panics").clone()
     }
 
-    /// Signals the process, unless the run has ended it.
+    /// Signals the process, unless it is down.
     fn signal(&self, name: &str) {
         let node = self.lock();
         if self.up.load(Ordering::SeqCst) {
@@ -110,19 +110,20 @@
         }
     }
 
-    /// Takes the process as ended by the run; false if it was already.
-    fn take_down(&self) -> bool {
-        self.life.fetch_add(1, Ordering::SeqCst);
+    /// Marks the process as down and begins a new incarnation. False if it
+    /// was down already.
+    fn mark_down(&self) -> bool {
+        self.incarnation.fetch_add(1, Ordering::SeqCst);
         self.up.swap(false, Ordering::SeqCst)
     }
 
     fn kill(&self) -> bool {
         let mut node = self.lock();
-        let first = self.take_down();
-        if first {
+        let was_up = self.mark_down();
+        if was_up {
             node.kill();
         }
-        first
+        was_up
     }
 
     fn start(&self) {
@@ -132,54 +133,56 @@
     }
 }
 
-/// Everything that runs.
+/// All components of a run.
 pub struct World {
     /// The members, in the order of [`SERVICES`].
     pub members: Vec<Member>,
-    /// What was seen.
+    /// The observations of the run.
     pub record: Record,
     store: Arc<Store>,
     version: AtomicU64,
-    /// The operator writes one state after the other.
+    /// Serializes the operator's writes.
     operator: Mutex<()>,
     serial: AtomicU64,
-    /// Faults of a kind that last, so that one does not end another's.
-    lasting: Mutex<BTreeMap<String, u32>>,
-    /// What instances got that are gone.
-    gone: Mutex<Vec<Arrival>>,
-    /// How long an instance is away that a request has ended.
-    down: Duration,
-    /// Instances that are gone and were ended by a request, by their nodes.
-    crashed: Mutex<Vec<(usize, Arc<Instance>)>>,
-    trouble: Mutex<Vec<Trouble>>,
+    /// The number of active faults by key, so that a fault ends with the last
+    /// of those that overlap.
+    active_faults: Mutex<BTreeMap<String, u32>>,
+    /// The arrivals at former instances.
+    past_arrivals: Mutex<Vec<Arrival>>,
+    /// The downtime of a crashed instance.
+    downtime: Duration,
+    /// Former instances, with the indices of their nodes.
+    past_instances: Mutex<Vec<(usize, Arc<Instance>)>>,
+    disruptions: Mutex<Vec<Disruption>>,
 }
 
-/// What a node suffered, and when.
+/// The time span of a fault.
 #[derive(Clone, Copy, Debug)]
-struct Trouble {
-    /// The node; all if it is the store that suffered.
+struct Disruption {
+    /// The affected node; `None` for all nodes.
     node: Option<usize>,
     from: Instant,
     to: Option<Instant>,
 }
 
-impl Trouble {
+impl Disruption {
+    /// True if it affects the node between two times.
     fn overlaps(&self, node: usize, from: Instant, to: Instant) -> bool {
-        let concerns = self.node.is_none_or(|own| own == node);
-        let before_end = self.to.is_none_or(|end| end >= from);
-        concerns && self.from <= to && before_end
+        let is_affected = self.node.is_none_or(|affected| affected == node);
+        let ends_after = self.to.is_none_or(|end| end >= from);
+        is_affected && self.from <= to && ends_after
     }
 }
 
 impl World {
-    /// Starts everything.
-    pub async fn start(program: &Path, down: Duration) -> Arc<World> {
+    /// Starts all components. `downtime` is that of crashed instances.
+    pub async fn start(program: &Path, downtime: Duration) -> Arc<World> {
         let store = Store::start().await;
-        store.write_desired(&desired(1));
+        store.write_desired(&desired_state(1));
         let mut members = Vec::new();
         for (index, service) in SERVICES.iter().enumerate() {
-            let member = member(program, &store, index, service).await;
-            member.instance().crash_on(FATAL, down);
+            let member = start_member(program, &store, index, service).await;
+            member.instance().crash_on(FATAL_BODY, downtime);
             members.push(member);
         }
         Arc::new(World {
@@ -189,11 +192,11 @@
             version: AtomicU64::new(1),
             operator: Mutex::default(),
             serial: AtomicU64::new(SERVICES.len() as u64),
-            lasting: Mutex::default(),
-            gone: Mutex::default(),
-            down,
-            crashed: Mutex::default(),
-            trouble: Mutex::default(),
+            active_faults: Mutex::default(),
+            past_arrivals: Mutex::default(),
+            downtime,
+            past_instances: Mutex::default(),
+            disruptions: Mutex::default(),
         })
     }
 
@@ -202,44 +205,48 @@
         self.version.load(Ordering::SeqCst)
     }
 
-    /// A number that was not drawn before.
-    pub fn count(&self) -> u64 {
+    /// Returns a number that is unique in the run.
+    pub fn next_serial(&self) -> u64 {
         self.serial.fetch_add(1, Ordering::SeqCst)
     }
 
-    /// Everything that reached an instance.
+    /// All requests that reached an instance.
     pub fn arrivals(&self) -> Vec<Arrival> {
-        let mut all = self.gone.lock().expect("no holder panics").clone();
+        let mut all =
+            self.past_arrivals.lock().expect("no holder panics").clone();
         for member in &self.members {
             all.extend(member.instance().arrivals());
         }
         all
     }
 
-    /// Brings a fault about, and ends it.
-    pub async fn play(self: Arc<World>, event: Event) {
+    /// Injects a fault at its time and ends it after its span.
+    pub async fn inject(self: Arc<World>, event: Event) {
         sleep(event.at).await;
-        let index = self.begin_trouble(event.fault);
-        self.clone().bring_about(event).await;
+        let index = self.begin_disruption(event.fault);
+        self.clone().apply_fault(event).await;
         if let Some(index) = index {
-            let mut trouble = self.trouble.lock().expect("no holder panics");
-            trouble[index].to = Some(Instant::now());
+            let mut disruptions =
+                self.disruptions.lock().expect("no holder panics");
+            disruptions[index].to = Some(Instant::now());
         }
     }
 
-    /// Notes that a fault begins; `None` if nobody suffers from it.
-    fn begin_trouble(&self, fault: Fault) -> Option<usize> {
-        if matches!(fault, Fault::Change(_) | Fault::Reload(_)) {
+    /// Records the start of a disruption and returns its index. `None` if the
+    /// fault is not disruptive.
+    fn begin_disruption(&self, fault: Fault) -> Option<usize> {
+        if matches!(fault, Fault::ChangeDesired(_) | Fault::Reload(_)) {
             return None;
         }
         let from = Instant::now();
-        let node = concerned(fault);
-        let mut trouble = self.trouble.lock().expect("no holder panics");
-        trouble.push(Trouble { node, from, to: None });
-        Some(trouble.len() - 1)
+        let node = affected_node(fault);
+        let mut disruptions =
+            self.disruptions.lock().expect("no holder panics");
+        disruptions.push(Disruption { node, from, to: None });
+        Some(disruptions.len() - 1)
     }
 
-    async fn bring_about(self: Arc<World>, event: Event) {
+    async fn apply_fault(self: Arc<World>, event: Event) {
         let span = event.span;
         match event.fault {
             Fault::Kill(node) => self.kill(&[node], span).await,
@@ -250,24 +257,26 @@
             Fault::Pause(node) => self.pause(node, span).await,
             Fault::Term(node) => self.term(node, span).await,
             Fault::Reload(node) => self.members[node].signal("HUP"),
-            Fault::Harm(link, mode) => self.harm(link, mode, span).await,
-            Fault::Reset(link) => self.proxy(link).reset(),
-            Fault::StoreDown => self.hold_store_down(span).await,
-            Fault::StoreMute => {
-                let set = |mute| self.store.set_drops_responses(mute);
-                self.last("store mute", span, set).await;
+            Fault::DegradeLink(link, mode) => {
+                self.degrade_link(link, mode, span).await
             }
-            Fault::StoreForgets => self.store.compact(),
-            Fault::Mood(node, mood) => {
+            Fault::ResetLink(link) => self.proxy(link).reset(),
+            Fault::StoreDown => self.take_store_down(span).await,
+            Fault::StoreDropResponses => {
+                let set = |drops| self.store.set_drops_responses(drops);
+                self.apply_for("store mute", span, set).await;
+            }
+            Fault::StoreCompact => self.store.compact(),
+            Fault::Misbehave(node, behavior) => {
                 let instance = self.members[node].instance();
                 let set = |on| {
                     instance.set_behavior(if on {
-                        mood
+                        behavior
                     } else {
                         Behavior::Healthy
                     });
                 };
-                self.last(&format!("mood {node}"), span, set).await;
+                self.apply_for(&format!("mood {node}"), span, set).await;
             }
             Fault::Slow(node, time) => {
                 let instance = self.members[node].instance();
@@ -275,28 +284,32 @@
                 sleep(span).await;
                 instance.set_run_time(Duration::from_millis(5));
             }
-            Fault::Replace(node, way) => self.replace(node, way).await,
-            Fault::Change(count) => self.change(count).await,
+            Fault::Replace(node, departure) => {
+                self.replace(node, departure).await
+            }
+            Fault::ChangeDesired(count) => self.change_desired(count).await,
         }
     }
 
-    /// Ends every fault that a node could still suffer from.
-    pub fn heal(&self) {
+    /// Ends the faults of the store, the proxies and the instances, and
+    /// resumes paused nodes.
+    pub fn clear_faults(&self) {
         self.store.set_down(false);
         self.store.set_drops_responses(false);
         for member in &self.members {
             member.instance().set_behavior(Behavior::Healthy);
             for proxy in [&member.peers, &member.store, &member.server] {
-                proxy.set(Mode::Open);
+                proxy.set_mode(Mode::Forward);
             }
             member.signal("CONT");
         }
     }
 
-    /// Checks that the request which ends instances was kept from them once
-    /// three had ended, by every node that nothing had becrashed.
-    pub fn check_fatal(&self) {
-        let mut all = self.crashed.lock().expect("no holder panics").clone();
+    /// Checks that, some time after the third crash, undisturbed nodes no
+    /// longer pass the fatal request to their instances.
+    pub fn check_poison(&self) {
+        let mut all =
+            self.past_instances.lock().expect("no holder panics").clone();
         let members = self.members.iter().map(Member::instance);
         all.extend(members.enumerate());
         let mut crashes: Vec<Instant> =
@@ -305,64 +318,69 @@
         let Some(third) = crashes.get(2) else {
             return;
         };
-        let known = *third + KNOWN_WITHIN;
-        let trouble = self.trouble.lock().expect("no holder panics");
-        let is_calm = |node: usize, at: Instant| {
-            let from = at - KNOWN_WITHIN;
-            !trouble.iter().any(|t| t.overlaps(node, from, at))
+        let deadline = *third + PROPAGATION_TIMEOUT;
+        let disruptions = self.disruptions.lock().expect("no holder panics");
+        let is_undisturbed = |node: usize, at: Instant| {
+            let from = at - PROPAGATION_TIMEOUT;
+            !disruptions
+                .iter()
+                .any(|disruption| disruption.overlaps(node, from, at))
         };
         let late = all.iter().flat_map(|(node, instance)| {
             let fatal = instance.arrivals().into_iter();
-            let fatal = fatal.filter(|a| a.body == FATAL && a.ran);
+            let fatal = fatal.filter(|a| a.body == FATAL_BODY && a.ran);
             fatal.map(|arrival| (*node, arrival.at))
         });
-        let late = late.filter(|(_, at)| *at > known);
-        let late = late.filter(|(node, at)| is_calm(*node, *at)).count();
-        if late > LATE_MAX {
-            let ended = crashes.len();
-            let seen = format!("sent {late} times more; {ended} ended");
-            self.record.breach("ends few", seen);
+        let late = late.filter(|(_, at)| *at > deadline);
+        let late =
+            late.filter(|(node, at)| is_undisturbed(*node, *at)).count();
+        if late > MAX_LATE_RUNS {
+            let total = crashes.len();
+            let detail = format!(
+                "{late} late runs of the fatal request; {total} crashes"
+            );
+            self.record.record_violation("ends few", detail);
         }
     }
 
-    /// Sets something for a while; it ends with the last of those that
-    /// overlap.
-    async fn last(&self, what: &str, span: Duration, set: impl Fn(bool)) {
-        let count = |by: i64| {
-            let mut lasting = self.lasting.lock().expect("no holder panics");
-            let count = lasting.entry(what.to_string()).or_default();
+    /// Applies a fault for a while. Overlapping faults with the same key end
+    /// together with the last one.
+    async fn apply_for(&self, key: &str, span: Duration, set: impl Fn(bool)) {
+        let adjust = |by: i64| {
+            let mut active_faults =
+                self.active_faults.lock().expect("no holder panics");
+            let count = active_faults.entry(key.to_string()).or_default();
             *count = count.saturating_add_signed(by as i32);
             *count
         };
-        count(1);
+        adjust(1);
         set(true);
         sleep(span).await;
-        if count(-1) == 0 {
+        if adjust(-1) == 0 {
             set(false);
         }
     }
 
-    /// A copy of what the store holds.
+    /// Takes a snapshot of the store.
     pub fn snapshot_store(&self) -> Snapshot {
         self.store.snapshot()
     }
 
-    /// The store comes back from a copy.
-    pub fn restore_store(&self, copy: &Snapshot, watches: PendingWatches) {
-        self.store.restore(copy, watches);
+    /// Restores the store from a snapshot.
+    pub fn restore_store(&self, snapshot: &Snapshot, watches: PendingWatches) {
+        self.store.restore(snapshot, watches);
     }
 
-    /// The store is away for a while.
-    pub async fn hold_store_down(&self, span: Duration) {
+    /// Takes the store down for a while.
+    pub async fn take_store_down(&self, span: Duration) {
         let set = |down| self.store.set_down(down);
-        self.last("store down", span, set).await;
+        self.apply_for("store down", span, set).await;
     }
 
-    /// The operator writes the newest desired state once more, as the store
-    /// has lost it.
-    pub fn write_again(&self) {
-        let _turn = self.operator.lock().expect("no holder panics");
-        self.store.write_desired(&desired(self.version()));
+    /// Writes the newest desired state again, after the store has lost it.
+    pub fn rewrite_desired(&self) {
+        let _guard = self.operator.lock().expect("no holder panics");
+        self.store.write_desired(&desired_state(self.version()));
     }
 
     async fn kill(&self, nodes: &[usize], span: Duration) {
@@ -377,16 +395,17 @@
     async fn pause(&self, node: usize, span: Duration) {
         let member = &self.members[node];
         let stop = |on| member.signal(if on { "STOP" } else { "CONT" });
-        self.last(&format!("pause {node}"), span, stop).await;
+        self.apply_for(&format!("pause {node}"), span, stop).await;
     }
 
     async fn term(&self, node: usize, span: Duration) {
         let member = &self.members[node];
         member.signal("TERM");
-        if !member.take_down() {
+        if !member.mark_down() {
             return;
         }
-        // It has its grace; a process that stands still does not use it.
+        // Waits for the shutdown. A paused process doesn't exit and is killed
+        // by the restart.
         let end = Instant::now() + Duration::from_secs(7);
         while Instant::now() < end && !member.lock().has_exited() {
             sleep(Duration::from_millis(50)).await;
@@ -403,105 +422,110 @@
         }
     }
 
-    async fn harm(&self, link: Link, mode: Mode, span: Duration) {
+    async fn degrade_link(&self, link: Link, mode: Mode, span: Duration) {
         let proxy = self.proxy(link);
-        let set = |on| proxy.set(if on { mode } else { Mode::Open });
-        self.last(&format!("{link:?}"), span, set).await;
+        let set = |on| proxy.set_mode(if on { mode } else { Mode::Forward });
+        self.apply_for(&format!("{link:?}"), span, set).await;
     }
 
-    /// The operator changes the desired state, so often.
-    pub async fn change(&self, count: u32) {
+    /// Writes new versions of the desired state, with pauses.
+    pub async fn change_desired(&self, count: u32) {
         for _ in 0..count {
-            self.write_next();
+            self.write_next_desired();
             sleep(Duration::from_millis(100)).await;
         }
     }
 
-    fn write_next(&self) {
-        let _turn = self.operator.lock().expect("no holder panics");
+    fn write_next_desired(&self) {
+        let _guard = self.operator.lock().expect("no holder panics");
         let version = self.version() + 1;
-        self.store.write_desired(&desired(version));
+        self.store.write_desired(&desired_state(version));
         self.version.store(version, Ordering::SeqCst);
     }
 
-    /// An instance leaves, and another lifetime takes its place.
-    async fn replace(&self, node: usize, way: Farewell) {
+    /// Makes an instance leave, and starts a new one at its address.
+    async fn replace(&self, node: usize, departure: Departure) {
         let member = &self.members[node];
         if member.leaving.swap(true, Ordering::SeqCst) {
             return;
         }
-        let old = member.instance();
-        let acknowledged = match way {
-            Farewell::Drain => old.drain().await == 200,
-            Farewell::Goodbye => old.send_goodbye().await == 200,
-            Farewell::Crash => false,
+        let former = member.instance();
+        let acknowledged = match departure {
+            Departure::Drain => former.drain().await == 200,
+            Departure::Goodbye => former.send_goodbye().await == 200,
+            Departure::Crash => false,
         };
-        let since = Instant::now();
-        if way != Farewell::Crash {
-            sleep(DRAINS_FOR).await;
+        let left_at = Instant::now();
+        if departure != Departure::Crash {
+            sleep(DRAIN_DURATION).await;
         }
         if acknowledged {
-            self.check_drain(&old, since);
+            self.check_drain(&former, left_at);
         }
-        old.send_goodbye().await;
-        old.stop();
-        sleep(REUSE_AFTER).await;
-        self.keep_arrivals(&old);
-        self.keep_instance(node, old);
-        let serial = self.count();
+        former.send_goodbye().await;
+        former.stop();
+        sleep(ADDRESS_REUSE_DELAY).await;
+        self.retain_arrivals(&former);
+        self.retain_instance(node, former);
+        let serial = self.next_serial();
         let at = member.addresses();
         let id = format!("i-{serial}");
         let name = member.service.as_str();
-        let next = Instance::start(&id, name, at.server, at.control).await;
-        next.crash_on(FATAL, self.down);
-        *member.instance.lock().expect("no holder panics") = next;
+        let replacement =
+            Instance::start(&id, name, at.server, at.control).await;
+        replacement.crash_on(FATAL_BODY, self.downtime);
+        *member.instance.lock().expect("no holder panics") = replacement;
         member.leaving.store(false, Ordering::SeqCst);
     }
 
-    fn keep_instance(&self, node: usize, instance: Arc<Instance>) {
-        let mut crashed = self.crashed.lock().expect("no holder panics");
-        crashed.push((node, instance));
+    fn retain_instance(&self, node: usize, instance: Arc<Instance>) {
+        let mut past_instances =
+            self.past_instances.lock().expect("no holder panics");
+        past_instances.push((node, instance));
     }
 
-    fn keep_arrivals(&self, instance: &Instance) {
-        let mut gone = self.gone.lock().expect("no holder panics");
-        gone.extend(instance.arrivals());
+    fn retain_arrivals(&self, instance: &Instance) {
+        let mut past_arrivals =
+            self.past_arrivals.lock().expect("no holder panics");
+        past_arrivals.extend(instance.arrivals());
     }
 
-    fn check_drain(&self, instance: &Instance, since: Instant) {
+    fn check_drain(&self, instance: &Instance, left_at: Instant) {
         let arrivals = instance.arrivals();
-        let late = arrivals.iter().filter(|a| a.at > since + DRAIN).count();
+        let late =
+            arrivals.iter().filter(|a| a.at > left_at + DRAIN_GRACE).count();
         if late > 0 {
-            let seen = format!("{late} requests reached one that had left");
-            self.record.breach("drained", seen);
+            let detail =
+                format!("{late} requests reached an instance that had left");
+            self.record.record_violation("drained", detail);
         }
     }
 }
 
-/// The node that a fault befalls; `None` if it may concern all.
-fn concerned(fault: Fault) -> Option<usize> {
+/// The node that a fault affects; `None` if it may affect all.
+fn affected_node(fault: Fault) -> Option<usize> {
     match fault {
         Fault::Kill(node)
         | Fault::Pause(node)
         | Fault::Term(node)
         | Fault::Reload(node)
-        | Fault::Mood(node, _)
+        | Fault::Misbehave(node, _)
         | Fault::Slow(node, _)
         | Fault::Replace(node, _) => Some(node),
-        Fault::Harm(link, _) | Fault::Reset(link) => match link {
+        Fault::DegradeLink(link, _) | Fault::ResetLink(link) => match link {
             Link::Peers(node) | Link::Store(node) | Link::Server(node) => {
                 Some(node)
             }
         },
         Fault::KillAll
         | Fault::StoreDown
-        | Fault::StoreMute
-        | Fault::StoreForgets
-        | Fault::Change(_) => None,
+        | Fault::StoreDropResponses
+        | Fault::StoreCompact
+        | Fault::ChangeDesired(_) => None,
     }
 }
 
-async fn member(
+async fn start_member(
     program: &Path,
     store: &Arc<Store>,
     index: usize,
@@ -509,7 +533,7 @@
 ) -> Member {
     let addresses = Addresses::allocate();
     let peers = Proxy::start(addresses.peers).await;
-    let to_store = Proxy::start(store.address()).await;
+    let store_proxy = Proxy::start(store.address()).await;
     let server = Proxy::start(addresses.server).await;
     let Addresses { server: at, control, .. } = addresses;
     let id = format!("i-{index}");
@@ -519,7 +543,7 @@
         advertise: Some(peers.address()),
         zone: ["a", "b", "c"][index % 3].to_string(),
         service: service.to_string(),
-        store: to_store.address(),
+        store: store_proxy.address(),
         addresses,
         server: Some(server.address()),
         descriptors: 1_024,
@@ -529,11 +553,11 @@
         service: service.parse().expect("a service name"),
         node: Mutex::new(node),
         up: AtomicBool::new(true),
-        life: AtomicU64::new(0),
+        incarnation: AtomicU64::new(0),
         instance: Mutex::new(instance),
         leaving: AtomicBool::new(false),
         peers,
-        store: to_store,
+        store: store_proxy,
         server,
     }
 }
@@ -541,34 +565,34 @@
 fn bounds() -> Vec<(String, String)> {
     standin::bounds(
         Millis(6_000),
-        verdict::RATIO,
-        verdict::SLACK,
-        Millis(verdict::WINDOW.as_millis() as u64),
+        verdict::RETRY_RATIO,
+        verdict::RETRY_SLACK,
+        Millis(verdict::RETRY_WINDOW.as_millis() as u64),
     )
 }
 
-/// What callers ask for: route, service, and whether it may run again.
-pub const ASKED: [(&str, &str, Effect); 4] = [
+/// The routes that callers use: name, target service, and effect.
+pub const ROUTES: [(&str, &str, Effect); 4] = [
     ("browse", "desk", Effect::Idempotent),
     ("order", "desk", Effect::Once),
     ("search", "parts", Effect::Idempotent),
     ("book", "parts", Effect::Once),
 ];
 
-/// The name of the route that came with a version.
-pub fn probe(version: u64) -> String {
+/// The name of the route that a version of the desired state adds.
+pub fn probe_route(version: u64) -> String {
     format!("version-{version}")
 }
 
-/// The desired state of a version. Each adds a route to the former one, so
-/// that a node's answers tell which one it has.
-fn desired(version: u64) -> String {
-    let mut routes: Vec<Route> = ASKED
+/// The desired state of a version. Each version adds a route, so that a node's
+/// responses show which version it has applied.
+fn desired_state(version: u64) -> String {
+    let mut routes: Vec<Route> = ROUTES
         .iter()
         .map(|(name, service, effect)| route(name, service, *effect))
         .collect();
-    for each in 1..=version {
-        routes.push(route(&probe(each), "desk", Effect::Idempotent));
+    for number in 1..=version {
+        routes.push(route(&probe_route(number), "desk", Effect::Idempotent));
     }
     let spec = || Spec { health_path: "/health".into(), max_connections: 64 };
     let names = ["front", "desk", "parts"];
@@ -595,7 +619,7 @@
     }
 }
 
-/// Where callers of a node send requests.
-pub fn callers(member: &Member) -> SocketAddr {
+/// The address where callers connect to a node.
+pub fn caller_address(member: &Member) -> SocketAddr {
     member.addresses().callers
 }
--- a/crates/walnutmoor-standin/tests/ports.rs
+++ b/crates/walnutmoor-standin/tests/ports.rs
@@ -1,4 +1,4 @@
-//! Ports for processes under test.
+//! Allocation of ports for child processes.
 
 use std::{
     net::TcpListener,
@@ -9,15 +9,14 @@
 
 use walnutmoor_standin::child::{self, Ports};
 
-/// Draws enough that a port held by a child that is just being started shows:
-/// without the lock some of them do in each run.
-const DRAWS: usize = 1_500;
+/// Enough draws to detect ports that are held by children being spawned.
+const PORT_DRAWS: usize = 1_500;
 
 #[test]
-fn a_port_that_was_drawn_is_free_while_processes_are_started() {
-    let over = AtomicBool::new(false);
-    let start = || {
-        while !over.load(Ordering::Relaxed) {
+fn drawn_ports_are_free_while_processes_are_spawned() {
+    let stopped = AtomicBool::new(false);
+    let spawn_children = || {
+        while !stopped.load(Ordering::Relaxed) {
             let mut program = Command::new("true");
             let program = program.stdin(Stdio::null());
             let mut child = child::spawn(program).unwrap();
@@ -27,14 +26,14 @@
 
     let taken = thread::scope(|scope| {
         for _ in 0..4 {
-            scope.spawn(start);
+            scope.spawn(spawn_children);
         }
-        let taken = (0..DRAWS).filter(|_| {
+        let taken = (0..PORT_DRAWS).filter(|_| {
             let port = Ports::draw().node;
             TcpListener::bind(("127.0.0.1", port)).is_err()
         });
         let taken = taken.count();
-        over.store(true, Ordering::Relaxed);
+        stopped.store(true, Ordering::Relaxed);
         taken
     });
 
--- a/crates/walnutmoor-standin/tests/sessions.rs
+++ b/crates/walnutmoor-standin/tests/sessions.rs
@@ -1,12 +1,12 @@
-//! Golden files of whole sessions: events in, actions out, readable as
-//! stories. `UPDATE_EXPECT=1 cargo test` writes them anew.
+//! Golden files of sessions, with events as input and actions as output.
+//! `UPDATE_EXPECT=1 cargo test` updates them.
 
 use std::{fs, path::Path};
 
 use expect_test::expect_file;
 use walnutmoor_standin::drive::drive;
 
-fn play(name: &str) -> String {
+fn replay(name: &str) -> String {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("testdata/sessions");
     let input = fs::read(dir.join(name)).unwrap();
     let mut output = Vec::new();
@@ -19,7 +19,7 @@
         $(#[test]
         fn $name() {
             let name = stringify!($name);
-            let output = play(&format!("{name}.jsonl"));
+            let output = replay(&format!("{name}.jsonl"));
             let path = format!("../testdata/sessions/{name}.out");
             expect_file![path].assert_eq(&output);
         })*
--- a/crates/walnutmoor-standin/tests/soak.rs
+++ b/crates/walnutmoor-standin/tests/soak.rs
@@ -1,5 +1,5 @@
-//! Nodes as processes under seeded faults: a short run, and every seed that
-//! failed before.
+//! Short soak runs of node processes under seeded faults, and regression runs
+//! of the seeds that once failed.
 
 use std::{path::PathBuf, time::Duration};
 
@@ -13,29 +13,29 @@
     Config::new(program, seed).length(Duration::from_secs(seconds))
 }
 
-fn play(seed: u64, config: Config) {
+fn run_seed(seed: u64, config: Config) {
     wait::run(async move {
         let report = run(&config).await;
 
-        assert_eq!(report.breaches, [], "seed {seed}");
-        let served = report.ends.get(&200).copied().unwrap_or(0);
+        assert_eq!(report.violations, [], "seed {seed}");
+        let served = report.status_counts.get(&200).copied().unwrap_or(0);
         assert!(served > 100, "seed {seed}: only {served} were served");
     });
 }
 
 #[test]
 fn promises_hold_under_a_short_run_of_faults() {
-    play(7, config(7, 8));
+    run_seed(7, config(7, 8));
 }
 
 #[test]
 fn a_request_that_ends_instances_is_kept_from_them_under_faults() {
-    play(12, config(12, 14).poison(true));
+    run_seed(12, config(12, 14).poison(true));
 }
 
 #[test]
 fn promises_hold_while_the_store_comes_back_from_older_copies() {
-    play(22, config(22, 14).restores(true));
+    run_seed(22, config(22, 14).restores(true));
 }
 
 #[test]
@@ -46,12 +46,12 @@
         let mut words = line.split(' ');
         let mut number = || words.next().and_then(|word| word.parse().ok());
         let (Some(seed), Some(seconds)) = (number(), number()) else {
-            panic!("no seed and seconds: {line}");
+            panic!("expected a seed and seconds: {line}");
         };
-        let beside: Vec<&str> = words.collect();
+        let options: Vec<&str> = words.collect();
         let config = config(seed, seconds)
-            .poison(beside.contains(&"poison"))
-            .restores(beside.contains(&"restores"));
-        play(seed, config);
+            .poison(options.contains(&"poison"))
+            .restores(options.contains(&"restores"));
+        run_seed(seed, config);
     }
 }
--- a/crates/walnutmoor-standin/tests/verdict.rs
+++ b/crates/walnutmoor-standin/tests/verdict.rs
@@ -1,4 +1,4 @@
-//! The soak's checks: each finds a promise that was not kept.
+//! Each check of the soak detects a violation of its invariant.
 
 use std::time::Duration;
 
@@ -6,16 +6,20 @@
 use walnutmoor_core::table::Effect;
 use walnutmoor_standin::{
     mesh::instance::Arrival,
-    soak::verdict::{Record, Sent},
+    soak::verdict::{Exchange, Record},
 };
 
-fn sent(id: &str, effect: Effect, answer: Option<(u16, &str)>) -> Sent {
-    Sent {
+fn exchange(
+    id: &str,
+    effect: Effect,
+    response: Option<(u16, &str)>,
+) -> Exchange {
+    Exchange {
         id: id.into(),
         service: "desk".parse().unwrap(),
         effect,
         at: Instant::now(),
-        answer: answer.map(|(status, body)| (status, body.into())),
+        response: response.map(|(status, body)| (status, body.into())),
     }
 }
 
@@ -25,71 +29,74 @@
     Arrival { id: id.into(), body, service, at: Instant::now(), ran: true }
 }
 
-fn promises(sent: &[Sent], arrivals: &[Arrival]) -> Vec<&'static str> {
+fn violated(
+    exchanges: &[Exchange],
+    arrivals: &[Arrival],
+) -> Vec<&'static str> {
     let record = Record::default();
-    for each in sent {
-        record.sent(each.clone());
+    for exchange in exchanges {
+        record.record_exchange(exchange.clone());
     }
-    let breaches = record.judge(arrivals);
-    breaches.iter().map(|breach| breach.promise).collect()
+    let violations = record.check(arrivals);
+    violations.iter().map(|violation| violation.invariant).collect()
 }
 
 #[test]
-fn what_was_kept_is_no_breach() {
-    let sent = [
-        sent("a", Effect::Once, Some((200, "i-1 a body"))),
-        sent("b", Effect::Once, Some((503, ""))),
-        sent("c", Effect::Idempotent, Some((200, "i-1 c body"))),
-        sent("d", Effect::Once, None),
+fn valid_exchanges_are_accepted() {
+    let exchanges = [
+        exchange("a", Effect::Once, Some((200, "i-1 a body"))),
+        exchange("b", Effect::Once, Some((503, ""))),
+        exchange("c", Effect::Idempotent, Some((200, "i-1 c body"))),
+        exchange("d", Effect::Once, None),
     ];
 
-    assert!(promises(&sent, &[ran("a"), ran("c"), ran("c")]).is_empty());
+    assert!(violated(&exchanges, &[ran("a"), ran("c"), ran("c")]).is_empty());
 }
 
 #[test]
-fn a_second_run_of_what_may_run_once_is_found() {
-    let sent = [sent("a", Effect::Once, Some((200, "i-1 a body")))];
+fn a_second_run_of_a_once_request_is_detected() {
+    let exchanges = [exchange("a", Effect::Once, Some((200, "i-1 a body")))];
 
-    assert_eq!(promises(&sent, &[ran("a"), ran("a")]), ["once"]);
+    assert_eq!(violated(&exchanges, &[ran("a"), ran("a")]), ["once"]);
 }
 
 #[test]
-fn a_run_of_what_was_said_not_to_run_is_found() {
-    let sent = [sent("a", Effect::Idempotent, Some((429, "")))];
+fn a_run_of_a_rejected_request_is_detected() {
+    let exchanges = [exchange("a", Effect::Idempotent, Some((429, "")))];
 
-    assert_eq!(promises(&sent, &[ran("a")]), ["not run"]);
+    assert_eq!(violated(&exchanges, &[ran("a")]), ["not run"]);
 }
 
 #[test]
-fn another_request_s_answer_is_found() {
-    let sent = [sent("a", Effect::Once, Some((200, "i-1 b body")))];
+fn the_response_of_another_request_is_detected() {
+    let exchanges = [exchange("a", Effect::Once, Some((200, "i-1 b body")))];
 
-    assert_eq!(promises(&sent, &[ran("a")]), ["own answer"]);
+    assert_eq!(violated(&exchanges, &[ran("a")]), ["own answer"]);
 }
 
 #[test]
-fn an_answer_without_a_run_is_found() {
-    let sent = [sent("a", Effect::Once, Some((200, "i-1 a body")))];
+fn a_response_without_a_run_is_detected() {
+    let exchanges = [exchange("a", Effect::Once, Some((200, "i-1 a body")))];
 
-    assert_eq!(promises(&sent, &[]), ["own answer"]);
+    assert_eq!(violated(&exchanges, &[]), ["own answer"]);
 }
 
 #[test]
-fn a_run_that_nobody_asked_for_is_found() {
-    assert_eq!(promises(&[], &[ran("a")]), ["asked for"]);
+fn a_run_without_a_request_is_detected() {
+    assert_eq!(violated(&[], &[ran("a")]), ["asked for"]);
 }
 
 #[test]
-fn a_refusal_of_a_route_that_is_there_is_found() {
-    let sent = [sent("a", Effect::Once, Some((404, "")))];
+fn a_404_for_an_existing_route_is_detected() {
+    let exchanges = [exchange("a", Effect::Once, Some((404, "")))];
 
-    assert_eq!(promises(&sent, &[]), ["allowed"]);
+    assert_eq!(violated(&exchanges, &[]), ["allowed"]);
 }
 
 #[test]
-fn more_repeats_than_allowed_are_found() {
-    let all: Vec<Sent> = (0..10)
-        .map(|n| sent(&format!("r{n}"), Effect::Idempotent, None))
+fn retries_above_the_budget_are_detected() {
+    let exchanges: Vec<Exchange> = (0..10)
+        .map(|n| exchange(&format!("r{n}"), Effect::Idempotent, None))
         .collect();
     let later = Instant::now() + Duration::from_secs(1);
     let mut arrivals = Vec::new();
@@ -98,5 +105,5 @@
         arrivals.push(Arrival { at, ..ran("r0") });
     }
 
-    assert_eq!(promises(&all, &arrivals), ["few repeats"]);
+    assert_eq!(violated(&exchanges, &arrivals), ["few repeats"]);
 }
--- a/crates/walnutmoor/tests/mesh/accounts.rs
+++ b/crates/walnutmoor/tests/mesh/accounts.rs
@@ -218,7 +218,7 @@
 fn a_node_cut_off_from_the_store_hears_of_a_removed_key_from_its_peers() {
     run(async {
         let world = world().await;
-        world.pairs[0].store.set(Mode::Silent);
+        world.pairs[0].store.set_mode(Mode::StallBoth);
 
         let accounts = [account("bolt", &[OTHER])];
         adopt(&world, 3, &state(3, &accounts)).await;
--- a/crates/walnutmoor/tests/mesh/desired.rs
+++ b/crates/walnutmoor/tests/mesh/desired.rs
@@ -75,7 +75,7 @@
         next.push(route("search", Effect::Idempotent, &[("desk", 1)]));
 
         // Neither side sees the connection end.
-        world.pairs[0].store.set(Mode::Silent);
+        world.pairs[0].store.set_mode(Mode::StallBoth);
         world.store.write_desired(&desired(2, &next));
 
         world.served(0, "search", "cut-off").await;
--- a/crates/walnutmoor/tests/mesh/watching.rs
+++ b/crates/walnutmoor/tests/mesh/watching.rs
@@ -68,7 +68,7 @@
         let before = settled(&world).await;
 
         for index in &before {
-            world.pairs[*index].store.set(Mode::Refuses);
+            world.pairs[*index].store.set_mode(Mode::Refuse);
             world.pairs[*index].store.reset();
         }
         until("others watch", || async {
