--- a/crates/walnutmoor-standin/src/soak/world.rs
+++ b/crates/walnutmoor-standin/src/soak/world.rs
@@ -52,7 +52,7 @@
 /// counts as undisturbed if it had no disruption for this long.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// The allowed runs of the fatal request beside undisturbed nodes after that.
+/// The maximum runs of the fatal request at undisturbed nodes after that.
 const MAX_LATE_RUNS: usize = 3;
 
 /// The delay before another instance reuses an address.
