--- a/crates/walnutmoor-standin/src/backend.rs
+++ b/crates/walnutmoor-standin/src/backend.rs
@@ -1,10 +1,10 @@
 /*!
-A stand-in for a backend server: so many slots, a service time, deeper calls
-through its node, and retries of its own, as the brief's layers have.
+A simulated backend server with limited concurrency, a fixed service time,
+nested calls through its node, and its own retries.
 
-A call that is canceled, because its connection closed, frees its slot. The
-answer names the request, the service and the answers of deeper calls, so
-that a caller can tell its own answer from others'.
+A call whose connection closes is canceled and frees its slot. The response
+body names the request, the service and the responses of nested calls, so that
+a caller can verify that it received the response to its own request.
 */
 
 use std::{
@@ -25,28 +25,28 @@
 use walnutmoor::{prelude::*, wire};
 
 use crate::{
-    client::{ATTEMPT_ID, Attempt, Came, Client, SERVED},
+    client::{ATTEMPT_ID, Attempt, Client, Outcome, SERVED_US},
     oracle::Oracle,
 };
 
-/// What a backend server is like.
+/// Configures a backend server.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The service it offers.
+    /// The service that the server offers.
     pub service: Service,
-    /// Calls that it runs at a time.
+    /// The maximum number of calls that run concurrently.
     pub slots: u32,
-    /// Its own time for one call.
-    pub time: Duration,
-    /// The services that it calls, one after the other.
+    /// The processing time of one call, without nested calls.
+    pub service_time: Duration,
+    /// The services that each call invokes, sequentially.
     pub calls: Vec<Service>,
-    /// How often it repeats a deeper call that failed.
-    pub retries: u32,
-    /// Its node's listener for calls.
+    /// The maximum number of retries of a nested call.
+    pub max_retries: u32,
+    /// The caller address of the server's node.
     pub node: SocketAddr,
 }
 
-/// A backend server.
+/// A running backend server.
 #[derive(Debug)]
 pub struct Backend {
     setup: Setup,
@@ -54,158 +54,173 @@
     client: Client,
     oracle: Arc<Oracle>,
     address: SocketAddr,
-    slowness: AtomicU64,
-    broken: AtomicBool,
-    deeper: AtomicU64,
+    slowdown_factor: AtomicU64,
+    abort_responses: AtomicBool,
+    next_nested_id: AtomicU64,
     running: AtomicU32,
-    last_start: AtomicU64,
-    begun: Instant,
+    last_call_ms: AtomicU64,
+    started_at: Instant,
 }
 
 impl Backend {
-    /// Starts one on a free port of the loopback.
+    /// Starts a server on a free loopback port.
     ///
     /// # Panics
     ///
-    /// If no port can be opened.
+    /// If no port can be bound.
     pub async fn start(setup: Setup, oracle: Arc<Oracle>) -> Arc<Backend> {
-        let any: SocketAddr = ([127, 0, 0, 1], 0).into();
-        let listener = TcpListener::bind(any).await.expect("a free port");
+        let loopback: SocketAddr = ([127, 0, 0, 1], 0).into();
+        let listener = TcpListener::bind(loopback).await.expect("a free port");
         let backend = Arc::new(Backend {
             slots: Semaphore::new(setup.slots as usize),
             client: Client::new(),
             oracle,
             address: listener.local_addr().expect("a bound port"),
-            slowness: AtomicU64::new(1),
-            broken: AtomicBool::new(false),
-            deeper: AtomicU64::new(0),
+            slowdown_factor: AtomicU64::new(1),
+            abort_responses: AtomicBool::new(false),
+            next_nested_id: AtomicU64::new(0),
             running: AtomicU32::new(0),
-            last_start: AtomicU64::new(0),
-            begun: Instant::now(),
+            last_call_ms: AtomicU64::new(0),
+            started_at: Instant::now(),
             setup,
         });
         tokio::spawn(accept(listener, backend.clone()));
         backend
     }
 
-    /// Where it listens.
+    /// The address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The service it offers.
+    /// The service that the server offers.
     pub fn service(&self) -> &Service {
         &self.setup.service
     }
 
-    /// Makes it so many times slower.
-    pub fn slow_down(&self, times: u64) {
-        self.slowness.store(times, Ordering::Relaxed);
+    /// Multiplies the service time by `factor`; 1 restores it.
+    pub fn set_slowdown(&self, factor: u64) {
+        self.slowdown_factor.store(factor, Ordering::Relaxed);
     }
 
-    /// Makes it break off its answers midway, or stop doing so.
-    pub fn break_answers(&self, yes: bool) {
-        self.broken.store(yes, Ordering::Relaxed);
+    /// Sets whether connections are closed in place of a response.
+    pub fn set_abort_responses(&self, enabled: bool) {
+        self.abort_responses.store(enabled, Ordering::Relaxed);
     }
 
-    /// How many calls run.
+    /// The number of calls that are running.
     pub fn running(&self) -> u32 {
         self.running.load(Ordering::Relaxed)
     }
 
-    /// When the last call began.
-    pub fn last_start(&self) -> Instant {
-        let ms = self.last_start.load(Ordering::Relaxed);
-        self.begun + Duration::from_millis(ms)
+    /// When the most recent call started to run.
+    pub fn last_call_start(&self) -> Instant {
+        let ms = self.last_call_ms.load(Ordering::Relaxed);
+        self.started_at + Duration::from_millis(ms)
     }
 
     async fn run(&self, headers: &HeaderMap) -> Result<String, String> {
-        let text = |name: &str| {
+        let header = |name: &str| {
             let value = headers.get(name).and_then(|v| v.to_str().ok());
             value.unwrap_or_default().to_string()
         };
-        let request = text(wire::REQUEST);
-        let slot = self.slots.acquire().await;
-        let _slot = slot.map_err(|_| "closed".to_string())?;
-        let _running = Running::begin(self);
+        let request = header(wire::REQUEST);
+        let permit = self.slots.acquire().await;
+        let _permit = permit.map_err(|_| "closed".to_string())?;
+        let _running = RunningGuard::new(self);
         let name = self.setup.service.as_str();
-        self.oracle.ran(name, &request, &text(ATTEMPT_ID));
-        let slowness = self.slowness.load(Ordering::Relaxed);
-        tokio::time::sleep(self.setup.time * slowness as u32).await;
-        let mut answers = Vec::new();
+        self.oracle.record_run(name, &request, &header(ATTEMPT_ID));
+        let slowdown_factor = self.slowdown_factor.load(Ordering::Relaxed);
+        tokio::time::sleep(self.setup.service_time * slowdown_factor as u32)
+            .await;
+        let mut responses = Vec::new();
         for (step, service) in self.setup.calls.iter().enumerate() {
-            let deeper = Deeper {
+            let nested = NestedCall {
                 service,
                 step,
-                parent: text(wire::PARENT),
+                parent: header(wire::PARENT),
                 request: &request,
             };
-            answers.push(self.call(&deeper).await?);
+            responses.push(self.call(&nested).await?);
         }
-        let below = answers.join(",");
-        Ok(format!("{request}:{name}({below})"))
+        let nested = responses.join(",");
+        Ok(format!("{request}:{name}({nested})"))
     }
 
-    /// Makes a deeper call, and repeats it if it failed. It is numbered, so
-    /// that under a ticket it runs at most once.
-    async fn call(&self, deeper: &Deeper<'_>) -> Result<String, String> {
-        let mut last = String::new();
-        for _ in 0..=self.setup.retries {
-            let serial = self.deeper.fetch_add(1, Ordering::Relaxed);
+    /// Makes a nested call and retries it on failure. The step number lets
+    /// the nodes run it at most once under a ticket.
+    async fn call(&self, nested: &NestedCall<'_>) -> Result<String, String> {
+        let mut last_error = String::new();
+        for _ in 0..=self.setup.max_retries {
+            let serial = self.next_nested_id.fetch_add(1, Ordering::Relaxed);
             let id = format!("{}/{serial}", self.address);
-            let path = format!("/v1/call/{}/deeper", deeper.service);
+            let path = format!("/v1/call/{}/deeper", nested.service);
             let attempt = Attempt::get(path)
-                .header(wire::PARENT, &deeper.parent)
-                .header(wire::STEP, &deeper.step.to_string())
+                .header(wire::PARENT, &nested.parent)
+                .header(wire::STEP, &nested.step.to_string())
                 .header(ATTEMPT_ID, &id);
             match self.client.send(self.setup.node, attempt).await {
-                came @ Came::Answer { .. } if came.is_good() => {
-                    let Came::Answer { body, .. } = came else { break };
-                    return self.check(&body, deeper.request);
+                outcome @ Outcome::Response { .. } if outcome.is_success() => {
+                    let Outcome::Response { body, .. } = outcome else {
+                        break;
+                    };
+                    return self.strip_request_id(&body, nested.request);
                 }
-                Came::Answer { status, .. } => last = status.to_string(),
-                Came::Refused(told) => {
-                    if told.ran == "no" {
-                        self.oracle.told_not_run(&id);
+                Outcome::Response { status, .. } => {
+                    last_error = status.to_string()
+                }
+                Outcome::Refused(refusal) => {
+                    if refusal.ran == "no" {
+                        self.oracle.record_reported_not_run(&id);
                     }
-                    last = told.kind;
+                    last_error = refusal.kind;
+                }
+                Outcome::ConnectionFailed => {
+                    last_error = "nothing".to_string()
                 }
-                Came::Nothing => last = "nothing".to_string(),
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    fn check(&self, body: &[u8], request: &str) -> Result<String, String> {
+    /// Removes the request id from a response body, or fails if the response
+    /// belongs to another request.
+    fn strip_request_id(
+        &self,
+        body: &[u8],
+        request: &str,
+    ) -> Result<String, String> {
         let text = String::from_utf8_lossy(body).into_owned();
         match text.strip_prefix(&format!("{request}:")) {
             Some(rest) => Ok(rest.to_string()),
-            None => Err(format!("wrong answer {text}")),
+            None => Err(format!(
+                "response does not match request {request}: {text}"
+            )),
         }
     }
 }
 
-/// A deeper call to be made.
-struct Deeper<'a> {
+/// A call from a backend server to another service.
+struct NestedCall<'a> {
     service: &'a Service,
     step: usize,
     parent: String,
     request: &'a str,
 }
 
-/// Counts a call as running while it lives.
-struct Running<'a>(&'a Backend);
+/// Counts a call as running until dropped.
+struct RunningGuard<'a>(&'a Backend);
 
-impl Running<'_> {
-    fn begin(backend: &Backend) -> Running<'_> {
+impl RunningGuard<'_> {
+    fn new(backend: &Backend) -> RunningGuard<'_> {
         backend.running.fetch_add(1, Ordering::Relaxed);
-        let ms = backend.begun.elapsed().as_millis() as u64;
-        backend.last_start.store(ms, Ordering::Relaxed);
-        Running(backend)
+        let ms = backend.started_at.elapsed().as_millis() as u64;
+        backend.last_call_ms.store(ms, Ordering::Relaxed);
+        RunningGuard(backend)
     }
 }
 
-impl Drop for Running<'_> {
+impl Drop for RunningGuard<'_> {
     fn drop(&mut self) {
         self.0.running.fetch_sub(1, Ordering::Relaxed);
     }
@@ -217,7 +232,7 @@
         let backend = backend.clone();
         let service = service_fn(move |request| {
             let backend = backend.clone();
-            async move { answer(&backend, request).await }
+            async move { handle(&backend, request).await }
         });
         let connection = http1::Builder::new()
             .serve_connection(TokioIo::new(stream), service);
@@ -225,21 +240,21 @@
     }
 }
 
-/// The connection breaks off instead of a whole answer.
+/// Makes hyper close the connection without a response.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer is cut")]
-struct Cut;
+#[error("the response was aborted")]
+struct ResponseAborted;
 
-async fn answer(
+async fn handle(
     backend: &Backend,
     request: Request<Incoming>,
-) -> Result<Response<Full<Bytes>>, Cut> {
-    let began = Instant::now();
+) -> Result<Response<Full<Bytes>>, ResponseAborted> {
+    let received_at = Instant::now();
     let (parts, body) = request.into_parts();
-    body.collect().await.map_err(|_| Cut)?;
+    body.collect().await.map_err(|_| ResponseAborted)?;
     let result = backend.run(&parts.headers).await;
-    if backend.broken.load(Ordering::Relaxed) {
-        return Err(Cut);
+    if backend.abort_responses.load(Ordering::Relaxed) {
+        return Err(ResponseAborted);
     }
     let (status, text) = match result {
         Ok(text) => (StatusCode::OK, text),
@@ -247,7 +262,7 @@
     };
     let mut response = Response::new(Full::new(Bytes::from(text)));
     *response.status_mut() = status;
-    let us = began.elapsed().as_micros() as u64;
-    response.headers_mut().insert(SERVED, us.into());
+    let us = received_at.elapsed().as_micros() as u64;
+    response.headers_mut().insert(SERVED_US, us.into());
     Ok(response)
 }
--- a/crates/walnutmoor-standin/src/child.rs
+++ b/crates/walnutmoor-standin/src/child.rs
@@ -1,8 +1,7 @@
 /*!
-Nodes as processes of their own, on free ports of the loopback.
+Runs nodes as child processes on free loopback ports.
 
-A process is ended when its handle is dropped, and only by the id under
-which it was started.
+Dropping the handle of a node kills its process.
 */
 
 use std::{
@@ -18,25 +17,25 @@
 
 use walnutmoor::prelude::*;
 
-/// How to start a node.
+/// Configures a node process.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The program and its first words.
+    /// The program and its leading arguments.
     pub program: Vec<PathBuf>,
-    /// The zone.
+    /// The availability zone.
     pub zone: String,
-    /// The platform's URL; `None`: in memory.
+    /// The URL of the platform, or `None` for the in-memory platform.
     pub platform: Option<String>,
     /// `enforce` or `observe`.
     pub mode: String,
-    /// Further settings, as YAML.
+    /// Additional settings, as YAML.
     pub extra: String,
-    /// The ports to use, to start again where one was before.
+    /// The ports to use, or `None` to allocate free ones.
     pub ports: Option<Ports>,
 }
 
 impl Setup {
-    /// A node in a zone, with this program.
+    /// Creates the setup of an enforcing node with an in-memory platform.
     pub fn new(program: &Path, zone: &str) -> Setup {
         Setup {
             program: vec![program.to_path_buf()],
@@ -49,32 +48,30 @@
     }
 }
 
-/// Held while a process is started, and while ports are probed. A process
-/// holds a copy of all open sockets from its fork to its exec, so a port that
-/// is probed meanwhile stays taken for some milliseconds more. Of 1,500 ports
-/// that were drawn beside four threads that start processes, 13 to 18 could
-/// not be bound without this.
-static STARTING: Mutex<()> = Mutex::new(());
+/// Held while a process is spawned and while ports are probed. Between fork
+/// and exec a child holds copies of all open sockets, so a port that is probed
+/// at that time would stay in use after the probe.
+static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
-fn starting() -> MutexGuard<'static, ()> {
-    // A test that failed while it held the lock has left nothing unfinished.
-    STARTING.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock_spawning() -> MutexGuard<'static, ()> {
+    // The lock guards no data, so a poisoned one is safe to use.
+    SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Starts a program.
+/// Spawns a program while no port is being probed.
 ///
 /// # Errors
 ///
-/// If it can't be started.
+/// If the program cannot be started.
 pub fn spawn(program: &mut Command) -> io::Result<Child> {
-    let _starting = starting();
+    let _guard = lock_spawning();
     program.spawn()
 }
 
 /// The ports of one node.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Ports {
-    /// For peers; the one above it for long control messages.
+    /// For peers; the next port is for long control messages.
     pub node: u16,
     /// For callers.
     pub caller: u16,
@@ -82,19 +79,21 @@
     pub operator: u16,
 }
 
-static NEXT: AtomicU16 = AtomicU16::new(0);
+static NEXT_OFFSET: AtomicU16 = AtomicU16::new(0);
 
-/// Ports are drawn below the range from which systems draw their own.
-const LOW: u16 = 12_000;
-const SPAN: u16 = 20_000;
+/// The lowest allocated port. The range stays below the ephemeral ports of
+/// the operating system.
+const FIRST_PORT: u16 = 12_000;
+/// The number of ports from which blocks are allocated.
+const PORT_COUNT: u16 = 20_000;
 
 impl Ports {
-    /// Four free ports in a row.
-    pub fn draw() -> Ports {
+    /// Allocates four consecutive free ports.
+    pub fn allocate() -> Ports {
         loop {
             let start = (std::process::id() as u16).wrapping_mul(97);
-            let step = NEXT.fetch_add(4, Ordering::Relaxed);
-            let base = LOW + start.wrapping_add(step) % SPAN;
+            let offset = NEXT_OFFSET.fetch_add(4, Ordering::Relaxed);
+            let base = FIRST_PORT + start.wrapping_add(offset) % PORT_COUNT;
             if (base..base + 4).all(is_free) {
                 return Ports {
                     node: base,
@@ -105,14 +104,14 @@
         }
     }
 
-    /// Where peers reach the node.
+    /// The node id, which is its peer address.
     pub fn node_id(&self) -> NodeId {
         NodeId(local(self.node))
     }
 }
 
 fn is_free(port: u16) -> bool {
-    let _starting = starting();
+    let _guard = lock_spawning();
     TcpListener::bind(local(port)).is_ok()
         && UdpSocket::bind(local(port)).is_ok()
 }
@@ -121,7 +120,7 @@
     ([127, 0, 0, 1], port).into()
 }
 
-/// A node that runs.
+/// A running node process.
 #[derive(Debug)]
 pub struct Node {
     child: Child,
@@ -130,7 +129,7 @@
     dir: PathBuf,
 }
 
-static SERIAL: AtomicU32 = AtomicU32::new(0);
+static NEXT_DIR_ID: AtomicU32 = AtomicU32::new(0);
 
 impl Node {
     /// Starts a node.
@@ -139,14 +138,16 @@
     ///
     /// If the process cannot be started.
     pub fn start(setup: &Setup) -> Node {
-        let ports = setup.ports.unwrap_or_else(Ports::draw);
-        let serial = SERIAL.fetch_add(1, Ordering::Relaxed);
+        let ports = setup.ports.unwrap_or_else(Ports::allocate);
+        let serial = NEXT_DIR_ID.fetch_add(1, Ordering::Relaxed);
         let name = format!("walnutmoor-{}-{serial}", std::process::id());
         let dir = std::env::temp_dir().join(name);
-        fs::create_dir_all(&dir).expect("a folder for settings");
+        fs::create_dir_all(&dir).expect("create the settings directory");
         let file = dir.join("node.yaml");
-        fs::write(&file, settings(setup, ports)).expect("a settings file");
-        let log = fs::File::create(dir.join("log")).expect("a log file");
+        fs::write(&file, settings(setup, ports))
+            .expect("write the settings file");
+        let log =
+            fs::File::create(dir.join("log")).expect("create the log file");
         let mut program = Command::new(&setup.program[0]);
         let program = program
             .args(&setup.program[1..])
@@ -156,11 +157,11 @@
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log);
-        let child = spawn(program).expect("the node starts");
+        let child = spawn(program).expect("start the node process");
         Node { child, ports, setup: setup.clone(), dir }
     }
 
-    /// Starts another life on the same ports.
+    /// Kills the process and starts a new one on the same ports.
     pub fn restart(&mut self) {
         self.kill();
         let mut setup = self.setup.clone();
@@ -168,50 +169,50 @@
         *self = Node::start(&setup);
     }
 
-    /// Its ports.
+    /// The ports of the node.
     pub fn ports(&self) -> Ports {
         self.ports
     }
 
-    /// Where callers reach it.
-    pub fn caller(&self) -> SocketAddr {
+    /// The address for callers.
+    pub fn caller_address(&self) -> SocketAddr {
         local(self.ports.caller)
     }
 
-    /// Where operators reach it.
-    pub fn operator(&self) -> SocketAddr {
+    /// The address for operators.
+    pub fn operator_address(&self) -> SocketAddr {
         local(self.ports.operator)
     }
 
-    /// Its process id.
+    /// The process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// What it wrote to its log.
+    /// The log output of the current process so far.
     pub fn log(&self) -> String {
         fs::read_to_string(self.dir.join("log")).unwrap_or_default()
     }
 
-    /// Ends it at once, without a word.
+    /// Kills the process and waits for it to exit.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Sends a signal by name, as in `STOP`, `CONT` or `TERM`.
+    /// Sends a signal by name, such as `STOP`, `CONT` or `TERM`.
     pub fn signal(&self, name: &str) {
         let pid = self.pid().to_string();
         let status = Command::new("kill").args(["-s", name, &pid]).status();
         debug_assert!(status.is_ok());
     }
 
-    /// True once it has ended.
+    /// Returns true if the process has exited.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// The exit code, once it has ended.
+    /// The exit code, if the process has exited with one.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child.try_wait().ok().flatten().and_then(|s| s.code())
     }
--- a/crates/walnutmoor-standin/src/client.rs
+++ b/crates/walnutmoor-standin/src/client.rs
@@ -1,5 +1,5 @@
 /*!
-A caller: sends one attempt to a node and reads the whole answer.
+An HTTP client that sends single attempts to a node and reads the response.
 */
 
 use std::net::SocketAddr;
@@ -14,70 +14,72 @@
 use serde::Deserialize;
 use walnutmoor::wire;
 
-/// A refusal, as a caller reads it.
+/// A node's refusal of a call.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Told {
-    /// Why.
+pub struct Refusal {
+    /// The reason of the refusal.
     pub kind: String,
-    /// `no`, `yes` or `unknown`.
+    /// Whether the call ran: `no`, `yes` or `unknown`.
     pub ran: String,
-    /// When to come back, in milliseconds.
+    /// When to retry, in milliseconds from now.
     #[serde(default)]
     pub retry_after_ms: Option<u64>,
-    /// The number that the next attempt should name.
+    /// The attempt number to send with the next attempt.
     #[serde(skip)]
-    pub next: Option<u32>,
+    pub next_attempt: Option<u32>,
 }
 
-/// What came of an attempt.
+/// The outcome of an attempt.
 #[derive(Clone, Debug)]
-pub enum Came {
-    /// A whole answer of a backend server.
-    Answer {
-        /// Its status.
+pub enum Outcome {
+    /// A complete response of a backend server.
+    Response {
+        /// The HTTP status.
         status: u16,
-        /// Its body.
+        /// The response body.
         body: Bytes,
-        /// The time at the backend server, in microseconds, if it said so.
+        /// The time spent in the backend server, in microseconds, if it was
+        /// reported.
         served_us: Option<u64>,
-        /// The number that the next attempt should name.
-        next: Option<u32>,
+        /// The attempt number to send with the next attempt.
+        next_attempt: Option<u32>,
     },
-    /// A node refused.
-    Refused(Told),
-    /// The connection failed or broke off.
-    Nothing,
+    /// A node refused the call.
+    Refused(Refusal),
+    /// The connection failed or closed before the response was complete.
+    ConnectionFailed,
 }
 
-impl Came {
-    /// True if a backend server answered with success.
-    pub fn is_good(&self) -> bool {
-        matches!(self, Came::Answer { status, .. } if *status < 400)
+impl Outcome {
+    /// Returns true if a backend server responded with success.
+    pub fn is_success(&self) -> bool {
+        matches!(self, Outcome::Response { status, .. } if *status < 400)
     }
 }
 
-/// The backend stand-ins tell their own time in this header.
-pub const SERVED: &str = "x-served-us";
+/// The response header in which simulated backend servers report the time
+/// spent on a call, in microseconds.
+pub const SERVED_US: &str = "x-served-us";
 
-/// Names one attempt, for the oracle. Passed through by nodes like any
-/// header of a caller.
+/// The request header that identifies an attempt to the oracle. Nodes forward
+/// it unchanged.
 pub const ATTEMPT_ID: &str = "x-attempt-id";
 
-/// One attempt.
+/// One HTTP request to a node.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The method.
     pub method: Method,
-    /// Path and query.
+    /// The path and query.
     pub path: String,
-    /// Headers.
+    /// The headers.
     pub headers: Vec<(&'static str, String)>,
-    /// The body.
+    /// The request body.
     pub body: Bytes,
 }
 
 impl Attempt {
-    /// A GET without headers.
+    /// Creates a GET request without headers.
     pub fn get(path: impl Into<String>) -> Attempt {
         Attempt {
             method: Method::GET,
@@ -87,7 +89,7 @@
         }
     }
 
-    /// A POST without headers.
+    /// Creates a POST request without headers.
     pub fn post(path: impl Into<String>) -> Attempt {
         Attempt { method: Method::POST, ..Attempt::get(path) }
     }
@@ -105,7 +107,7 @@
     }
 }
 
-/// A client with a pool of connections.
+/// An HTTP client with a connection pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     http: Http<HttpConnector, Full<Bytes>>,
@@ -118,7 +120,7 @@
 }
 
 impl Client {
-    /// A client without connections yet.
+    /// Creates a client with an empty pool.
     pub fn new() -> Client {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -129,36 +131,40 @@
         Client { http }
     }
 
-    /// Sends an attempt and reads the whole answer.
-    pub async fn send(&self, to: SocketAddr, attempt: Attempt) -> Came {
+    /// Sends an attempt and reads the complete response.
+    pub async fn send(&self, to: SocketAddr, attempt: Attempt) -> Outcome {
         let uri = format!("http://{to}{}", attempt.path);
-        let Ok(uri) = uri.parse::<Uri>() else { return Came::Nothing };
+        let Ok(uri) = uri.parse::<Uri>() else {
+            return Outcome::ConnectionFailed;
+        };
         let mut request = Request::builder().method(attempt.method).uri(uri);
         for (name, value) in attempt.headers {
             request = request.header(name, value);
         }
         let Ok(request) = request.body(Full::new(attempt.body)) else {
-            return Came::Nothing;
+            return Outcome::ConnectionFailed;
         };
         let Ok(response) = self.http.request(request).await else {
-            return Came::Nothing;
+            return Outcome::ConnectionFailed;
         };
         let (parts, body) = response.into_parts();
-        let Ok(body) = body.collect().await else { return Came::Nothing };
+        let Ok(body) = body.collect().await else {
+            return Outcome::ConnectionFailed;
+        };
         let body = body.to_bytes();
         let status = parts.status.as_u16();
         let number = |name: &str| {
             let value = parts.headers.get(name)?.to_str().ok()?;
             value.parse::<u64>().ok()
         };
-        let served_us = number(SERVED);
-        let next = number(wire::ATTEMPT).map(|n| n as u32);
+        let served_us = number(SERVED_US);
+        let next_attempt = number(wire::ATTEMPT).map(|n| n as u32);
         if served_us.is_none()
             && status >= 400
-            && let Ok(told) = serde_json::from_slice::<Told>(&body)
+            && let Ok(refusal) = serde_json::from_slice::<Refusal>(&body)
         {
-            return Came::Refused(Told { next, ..told });
+            return Outcome::Refused(Refusal { next_attempt, ..refusal });
         }
-        Came::Answer { status, body, served_us, next }
+        Outcome::Response { status, body, served_us, next_attempt }
     }
 }
--- a/crates/walnutmoor-standin/src/lib.rs
+++ b/crates/walnutmoor-standin/src/lib.rs
@@ -1,17 +1,21 @@
 /*!
-Stand-ins and measuring runs for walnutmoor. Not published, and no part of
-the product.
+Test doubles, load generation and measuring runs for walnutmoor. This crate is
+not published.
 
-- [`platform`] is an object API over HTTP with faults.
-- [`backend`] is a backend server with slots, service times and deeper calls.
-- [`oracle`] counts what really ran, by request.
-- [`child`] starts nodes as processes of their own.
+- [`platform`] is an object API over HTTP with fault injection.
+- [`backend`] is a simulated backend server with slots, service times and
+  nested calls.
+- [`client`] is an HTTP client for single attempts.
+- [`oracle`] counts the calls that ran, by request.
+- [`child`] runs nodes as child processes.
 - [`load`] is an open-loop load generator.
-- [`measure`] runs a scenario and prints its figures.
-- [`mesh`] has the platform's store, instances, callers and nodes.
-- [`soak`] runs nodes under faults from outside and checks what was promised.
-- [`wait`] waits for conditions.
-- [`drive`] reads events as JSON lines and prints the core's actions.
+- [`measure`] runs a scenario and collects its figures.
+- [`report`] computes the figures of a measuring run.
+- [`topology`] describes services, classes and demand.
+- [`mesh`] provides the platform's store, instances, callers and nodes.
+- [`soak`] runs nodes under fault injection and checks their guarantees.
+- [`wait`] runs asynchronous tests and waits for conditions.
+- [`drive`] replays recorded events on the core and prints its actions.
 
 # Example
 
--- a/crates/walnutmoor-standin/src/load.rs
+++ b/crates/walnutmoor-standin/src/load.rs
@@ -1,9 +1,9 @@
 /*!
-An open-loop load generator: requests begin when the clock says so, whether
-or not earlier ones have ended, so that waiting is not hidden.
+An open-loop load generator. Requests start at the scheduled times, whether or
+not earlier ones have completed, which avoids coordinated omission.
 
-A request is one whole request of a class, with all attempts of its caller.
-Its outcome is judged from the caller's side and checked against the oracle.
+A request covers all attempts of its caller. Its outcome is what the caller
+observed.
 */
 
 use std::{
@@ -19,88 +19,89 @@
 use walnutmoor_core::class::Kind;
 
 use crate::{
-    client::{ATTEMPT_ID, Attempt, Came, Client},
+    client::{ATTEMPT_ID, Attempt, Client, Outcome},
     oracle::Oracle,
-    topology::{Topology, Work},
+    topology::{Topology, Workload},
 };
 
-/// How callers behave when they are refused.
+/// How callers retry after a refusal.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Manner {
-    /// They come back when they are told to.
-    Polite,
-    /// They come back at once, whatever they are told.
-    Hard,
+pub enum RetryPolicy {
+    /// They wait for the time that the refusal states.
+    RetryAfter,
+    /// They ignore that time and retry after a short fixed delay.
+    Aggressive,
 }
 
-/// The most attempts of one caller: one more than the budget allows, so
-/// that the bound is the system's and not the caller's.
-const ATTEMPTS_MAX: u32 = 5;
+/// The maximum number of attempts of one caller. It exceeds the retry budget,
+/// so that the system limits attempts and not the caller.
+const MAX_ATTEMPTS: u32 = 5;
 
-/// How long a hard caller waits between attempts.
-const HARD: Duration = Duration::from_millis(50);
+/// The delay between attempts of an aggressive caller.
+const AGGRESSIVE_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long a polite caller waits if it was not told.
-const POLITE: Duration = Duration::from_millis(500);
+/// The delay before a retry if the response states none.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The timer's step. Sleeping for less would last as long as this, and cap
-/// the rate at one request a step.
-const TIMER: Duration = Duration::from_millis(1);
+/// The resolution of the timer. Shorter waits are skipped, as they would cap
+/// the rate at one request per timer step.
+const TIMER_RESOLUTION: Duration = Duration::from_millis(1);
 
-/// What became of one whole request.
+/// The outcome of one request.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// Its class, as an index into the topology.
+    /// The class, as an index into the topology's classes.
     pub class: usize,
-    /// The kind of that class.
+    /// The kind of the class.
     pub kind: Kind,
-    /// When it began, since the load began.
-    pub at: Duration,
-    /// When it ended, since the load began.
+    /// When the request started, since the start of the load.
+    pub started: Duration,
+    /// When the request ended, since the start of the load.
     pub ended: Duration,
-    /// True if it completed within its target.
+    /// True if the request completed within its target time.
     pub completed: bool,
-    /// True if it got somebody else's answer.
-    pub wrong: bool,
-    /// True if a whole answer was cut or its connection broke off.
-    pub broken: bool,
-    /// The last refusal, if there was one.
-    pub refusal: Option<String>,
-    /// All refusals and errors of its attempts.
+    /// True if the response belonged to another request.
+    pub wrong_response: bool,
+    /// True if a node refused an attempt because its response was aborted.
+    pub aborted: bool,
+    /// The kind of the last refusal or error, if there was one.
+    pub last_refusal: Option<String>,
+    /// The kinds of the refusals and errors of all attempts.
     pub refusals: Vec<String>,
-    /// What the nodes added, in microseconds, if it completed at once.
-    pub added_us: Option<u64>,
+    /// The latency added by the nodes, in microseconds, if the first attempt
+    /// completed.
+    pub added_latency_us: Option<u64>,
 }
 
-/// A load.
+/// A load generator and the records of its requests.
 #[derive(Debug)]
 pub struct Load {
-    /// What is called.
+    /// The topology that receives the load.
     pub topology: Topology,
-    /// The ways in.
+    /// The caller addresses of the entry nodes.
     pub entries: Mutex<Vec<SocketAddr>>,
-    /// Counts what really ran.
+    /// Counts the calls that ran.
     pub oracle: Arc<Oracle>,
-    /// What became of requests.
+    /// The outcomes of requests that ended.
     pub records: Mutex<Vec<Record>>,
     client: Client,
-    begun: Instant,
+    created_at: Instant,
     seed: u64,
 }
 
-/// A span of the load at one rate.
+/// A period of the load at a constant mean rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Phase {
-    /// Requests a second.
+    /// The mean rate, in requests per second.
     pub rate: f64,
-    /// How long.
-    pub span: Duration,
-    /// How callers behave.
-    pub manner: Manner,
+    /// The length of the phase.
+    pub duration: Duration,
+    /// How callers retry.
+    pub retry_policy: RetryPolicy,
 }
 
 impl Load {
-    /// A load on these ways in.
+    /// Creates a load on these entry nodes.
     pub fn new(
         topology: Topology,
         entries: Vec<SocketAddr>,
@@ -113,28 +114,28 @@
             oracle,
             records: Mutex::default(),
             client: Client::new(),
-            begun: Instant::now(),
+            created_at: Instant::now(),
             seed,
         })
     }
 
-    /// The time since the load began.
+    /// The time since the load was created.
     pub fn elapsed(&self) -> Duration {
-        self.begun.elapsed()
+        self.created_at.elapsed()
     }
 
-    /// Runs phases one after the other, then waits for the last request.
+    /// Runs the phases in sequence, then waits until all requests end.
     pub async fn run(self: &Arc<Load>, phases: &[Phase]) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         let mut tasks = JoinSet::new();
-        let mut next = self.elapsed();
-        let mut end = next;
+        let mut next_start = self.elapsed();
+        let mut end = next_start;
         let mut serial = 0u64;
         for phase in phases {
-            end += phase.span;
-            while next < end {
-                let wait = next.saturating_sub(self.elapsed());
-                if wait >= TIMER {
+            end += phase.duration;
+            while next_start < end {
+                let wait = next_start.saturating_sub(self.elapsed());
+                if wait >= TIMER_RESOLUTION {
                     tokio::time::sleep(wait).await;
                 }
                 let draw: f64 = rng.random();
@@ -142,13 +143,13 @@
                 let (load, seed) = (self.clone(), rng.random());
                 serial += 1;
                 let id = format!("r{:x}-{serial}", self.seed);
-                let manner = phase.manner;
+                let retry_policy = phase.retry_policy;
                 tasks.spawn(async move {
-                    load.request(class, id, manner, seed).await
+                    load.request(class, id, retry_policy, seed).await
                 });
                 let u: f64 = rng.random();
                 let gap = -(1.0 - u).ln() / phase.rate.max(0.001);
-                next += Duration::from_secs_f64(gap);
+                next_start += Duration::from_secs_f64(gap);
                 while tasks.try_join_next().is_some() {}
             }
         }
@@ -156,12 +157,12 @@
     }
 
     fn draw_class(&self, draw: f64) -> usize {
-        let mut left = draw;
-        for (index, work) in self.topology.classes.iter().enumerate() {
-            if left < work.part {
+        let mut remaining = draw;
+        for (index, workload) in self.topology.classes.iter().enumerate() {
+            if remaining < workload.part {
                 return index;
             }
-            left -= work.part;
+            remaining -= workload.part;
         }
         self.topology.classes.len() - 1
     }
@@ -170,152 +171,155 @@
         &self,
         class: usize,
         id: String,
-        manner: Manner,
+        retry_policy: RetryPolicy,
         seed: u64,
     ) {
-        let work = self.topology.classes[class].clone();
+        let workload = self.topology.classes[class].clone();
         let mut caller = Caller {
             load: self,
-            work: &work,
+            workload: &workload,
             id: id.clone(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             ticket: None,
-            next: 1,
+            next_attempt: 1,
         };
-        let at = self.elapsed();
-        let within = Duration::from_millis(work.within.0.0);
+        let started = self.elapsed();
+        let within = Duration::from_millis(workload.within.0.0);
         let mut record = Record {
             class,
-            kind: work.kind,
-            at,
-            ended: at,
+            kind: workload.kind,
+            started,
+            ended: started,
             completed: false,
-            wrong: false,
-            broken: false,
-            refusal: None,
+            wrong_response: false,
+            aborted: false,
+            last_refusal: None,
             refusals: Vec::new(),
-            added_us: None,
+            added_latency_us: None,
         };
-        for attempt in 0..ATTEMPTS_MAX {
-            let left = (at + within).saturating_sub(self.elapsed());
-            if left.is_zero() {
+        for attempt in 0..MAX_ATTEMPTS {
+            let remaining = (started + within).saturating_sub(self.elapsed());
+            if remaining.is_zero() {
                 break;
             }
-            let again = caller.attempt(attempt, left, &mut record).await;
-            record.refusals.extend(record.refusal.clone());
-            let Some(pause) = again else { break };
-            let pause = match manner {
-                Manner::Hard => HARD,
-                Manner::Polite => pause,
+            let retry_delay =
+                caller.attempt(attempt, remaining, &mut record).await;
+            record.refusals.extend(record.last_refusal.clone());
+            let Some(delay) = retry_delay else { break };
+            let delay = match retry_policy {
+                RetryPolicy::Aggressive => AGGRESSIVE_RETRY_DELAY,
+                RetryPolicy::RetryAfter => delay,
             };
-            let left = (at + within).saturating_sub(self.elapsed());
-            if pause >= left {
+            let remaining = (started + within).saturating_sub(self.elapsed());
+            if delay >= remaining {
                 break;
             }
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(delay).await;
         }
         record.ended = self.elapsed();
-        if record.ended > at + within {
+        if record.ended > started + within {
             record.completed = false;
         }
-        self.file(&id, record);
+        self.store_record(&id, record);
     }
 
-    fn file(&self, id: &str, record: Record) {
+    fn store_record(&self, id: &str, record: Record) {
         if !record.completed {
             let services = self.topology.services.iter();
             let names: Vec<&str> = services.map(|s| s.name.as_str()).collect();
-            let runs = self.oracle.runs_for(id, &names);
-            self.oracle.wasted(runs);
+            let runs = self.oracle.total_runs(id, &names);
+            self.oracle.record_wasted(runs);
         }
         let mut records = self.records.lock().expect("no holder panics");
         records.push(record);
     }
 
-    fn entry(&self, draw: usize) -> SocketAddr {
+    fn pick_entry(&self, draw: usize) -> SocketAddr {
         let entries = self.entries.lock().expect("no holder panics");
         entries[draw % entries.len()]
     }
 }
 
-/// One caller with one whole request.
+/// A caller that makes the attempts of one request.
 struct Caller<'a> {
     load: &'a Load,
-    work: &'a Work,
+    workload: &'a Workload,
     id: String,
     rng: ChaCha8Rng,
     ticket: Option<String>,
-    next: u32,
+    next_attempt: u32,
 }
 
 impl Caller<'_> {
-    /// Makes one attempt. Returns after how long to come back, or `None`
-    /// if the request is over.
+    /// Makes one attempt. Returns the delay before the next attempt, or
+    /// `None` if the request has ended.
     async fn attempt(
         &mut self,
         number: u32,
-        left: Duration,
+        remaining: Duration,
         record: &mut Record,
     ) -> Option<Duration> {
-        let entry = self.load.entry(self.rng.random::<u32>() as usize);
-        if self.work.kind == Kind::Once && self.ticket.is_none() {
+        let entry = self.load.pick_entry(self.rng.random::<u32>() as usize);
+        if self.workload.kind == Kind::Once && self.ticket.is_none() {
             match self.fetch_ticket(entry).await {
                 Ok(ticket) => self.ticket = Some(ticket),
-                Err(pause) => return Some(pause),
+                Err(delay) => return Some(delay),
             }
         }
         let attempt_id = format!("{}.{number}", self.id);
-        let attempt = self.compose(&attempt_id, left);
-        let began = Instant::now();
-        let came = self.load.client.send(entry, attempt).await;
-        let took = began.elapsed();
-        match came {
-            Came::Answer { status, body, served_us, next } => {
-                self.next = next.unwrap_or(self.next + 1);
+        let attempt = self.build_attempt(&attempt_id, remaining);
+        let sent_at = Instant::now();
+        let outcome = self.load.client.send(entry, attempt).await;
+        let elapsed = sent_at.elapsed();
+        match outcome {
+            Outcome::Response { status, body, served_us, next_attempt } => {
+                self.next_attempt =
+                    next_attempt.unwrap_or(self.next_attempt + 1);
                 if status >= 400 {
-                    record.refusal = Some(status.to_string());
-                    return Some(POLITE);
+                    record.last_refusal = Some(status.to_string());
+                    return Some(DEFAULT_RETRY_DELAY);
                 }
                 let prefix = format!("{}:", self.id);
-                record.wrong = !body.starts_with(prefix.as_bytes());
-                record.completed = !record.wrong;
-                let took = took.as_micros() as u64;
-                let added = served_us.map(|us| took.saturating_sub(us));
-                record.added_us = added.filter(|_| number == 0);
+                record.wrong_response = !body.starts_with(prefix.as_bytes());
+                record.completed = !record.wrong_response;
+                let elapsed = elapsed.as_micros() as u64;
+                let added = served_us.map(|us| elapsed.saturating_sub(us));
+                record.added_latency_us = added.filter(|_| number == 0);
                 None
             }
-            Came::Refused(told) => {
-                self.next = told.next.unwrap_or(self.next + 1);
-                record.refusal = Some(told.kind.clone());
-                record.broken |= told.kind == "broken";
-                if told.ran == "no" {
-                    self.load.oracle.told_not_run(&attempt_id);
+            Outcome::Refused(refusal) => {
+                self.next_attempt =
+                    refusal.next_attempt.unwrap_or(self.next_attempt + 1);
+                record.last_refusal = Some(refusal.kind.clone());
+                record.aborted |= refusal.kind == "broken";
+                if refusal.ran == "no" {
+                    self.load.oracle.record_reported_not_run(&attempt_id);
                 }
-                let ms = told.retry_after_ms.map(Duration::from_millis);
-                match told.kind.as_str() {
+                let ms = refusal.retry_after_ms.map(Duration::from_millis);
+                match refusal.kind.as_str() {
                     "budget" => None,
-                    _ => Some(ms.unwrap_or(POLITE)),
+                    _ => Some(ms.unwrap_or(DEFAULT_RETRY_DELAY)),
                 }
             }
-            Came::Nothing => {
-                record.refusal = Some("nothing".to_string());
-                Some(POLITE)
+            Outcome::ConnectionFailed => {
+                record.last_refusal = Some("nothing".to_string());
+                Some(DEFAULT_RETRY_DELAY)
             }
         }
     }
 
-    fn compose(&self, attempt_id: &str, left: Duration) -> Attempt {
-        let work = self.work;
-        let path = format!("/v1/call/{}/whole", work.entry);
-        let attempt = match work.kind {
+    fn build_attempt(&self, attempt_id: &str, remaining: Duration) -> Attempt {
+        let workload = self.workload;
+        let path = format!("/v1/call/{}/whole", workload.entry);
+        let attempt = match workload.kind {
             Kind::Once => Attempt::post(path),
             _ => Attempt::get(path),
         };
         let mut attempt = attempt
-            .header(wire::CLASS, work.name.as_str())
+            .header(wire::CLASS, workload.name.as_str())
             .header(wire::REQUEST, &self.id)
-            .header(wire::ATTEMPT, &self.next.to_string())
-            .header(wire::DEADLINE, &left.as_millis().to_string())
+            .header(wire::ATTEMPT, &self.next_attempt.to_string())
+            .header(wire::DEADLINE, &remaining.as_millis().to_string())
             .header(ATTEMPT_ID, attempt_id);
         if let Some(ticket) = &self.ticket {
             attempt = attempt.header(wire::TICKET, ticket);
@@ -327,15 +331,15 @@
         &self,
         entry: SocketAddr,
     ) -> Result<String, Duration> {
-        let ask = Attempt::post("/v1/tickets");
-        let Came::Answer { body, .. } =
-            self.load.client.send(entry, ask).await
+        let attempt = Attempt::post("/v1/tickets");
+        let Outcome::Response { body, .. } =
+            self.load.client.send(entry, attempt).await
         else {
-            return Err(POLITE);
+            return Err(DEFAULT_RETRY_DELAY);
         };
         let value: serde_json::Value =
-            serde_json::from_slice(&body).map_err(|_| POLITE)?;
-        let ticket = value["ticket"].as_str().ok_or(POLITE)?;
+            serde_json::from_slice(&body).map_err(|_| DEFAULT_RETRY_DELAY)?;
+        let ticket = value["ticket"].as_str().ok_or(DEFAULT_RETRY_DELAY)?;
         Ok(ticket.to_string())
     }
 }
--- a/crates/walnutmoor-standin/src/main.rs
+++ b/crates/walnutmoor-standin/src/main.rs
@@ -1,5 +1,5 @@
-//! `walnutmoor-standin measure|drive|soak|node|mesh`: measuring runs, sessions
-//! and soaks.
+//! The command line of the test doubles: measuring runs, recorded sessions,
+//! soak runs and the daemon itself.
 
 use std::{io, process::ExitCode};
 
@@ -13,23 +13,23 @@
 };
 
 const HELP: &str = "\
-walnutmoor-standin: stand-ins and measuring runs for walnutmoor
+walnutmoor-standin: test doubles and measuring runs for walnutmoor
 
   measure SCENARIO --topology association|division
       [--mode enforce|observe] [--seed N] [--seconds N] [--trace]
       SCENARIO: steady, slow, surge, storm, outage, churn, rollout
-  measure slopes     figures for the capacity page, as JSON lines
+  measure slopes     cost per fleet size of parts of the core, as JSON lines
   measure restore [--nodes N]
-                     what a restore of the store costs so many nodes, as JSON
+                     cost of a store restore for N nodes, as JSON
   soak --seed N [--count N] [--seconds N] [--logs DIR]
-                     nodes as processes under faults, so many seeds in a row
-  drive              events as JSON lines in, actions as JSON lines out
-  node ... | mesh ...  the daemon itself, for measuring runs and soaks
+                     node processes under fault injection, for N seeds
+  drive              replay a session: JSON events in, JSON actions out
+  node ... | mesh ...  run the daemon, for measuring and soak runs
 ";
 
 fn main() -> ExitCode {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    match run(&words) {
+    let args: Vec<String> = std::env::args().skip(1).collect();
+    match run(&args) {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
             let code = failure.exit_code();
@@ -39,12 +39,12 @@
     }
 }
 
-fn run(words: &[String]) -> Result<(), Failure> {
-    match words.first().map(String::as_str) {
-        Some("node" | "mesh") => walnutmoor::command::run(words),
+fn run(args: &[String]) -> Result<(), Failure> {
+    match args.first().map(String::as_str) {
+        Some("node" | "mesh") => walnutmoor::command::run(args),
         Some("drive") => drive(io::stdin().lock(), &mut io::stdout().lock()),
-        Some("measure") => measure(&words[1..]),
-        Some("soak") => soak(&words[1..]),
+        Some("measure") => measure(&args[1..]),
+        Some("soak") => soak(&args[1..]),
         _ => {
             print!("{HELP}");
             Ok(())
@@ -52,18 +52,18 @@
     }
 }
 
-fn measure(words: &[String]) -> Result<(), Failure> {
+fn measure(args: &[String]) -> Result<(), Failure> {
     let mut options = Options::new();
-    options.optopt("", "topology", "which", "NAME");
+    options.optopt("", "topology", "topology to run", "NAME");
     options.optopt("", "mode", "enforce or observe", "MODE");
-    options.optopt("", "seed", "of the load", "N");
-    options.optopt("", "seconds", "of pressure", "N");
-    options.optopt("", "nodes", "of the fleet", "N");
-    options.optflag("", "trace", "print the bottleneck's state");
-    let wrong = |e: getopts::Fail| Failure::usage(e.to_string());
-    let matches = options.parse(words).map_err(wrong)?;
-    let none = || Failure::usage("measure: name a scenario");
-    let scenario = matches.free.first().ok_or_else(none)?;
+    options.optopt("", "seed", "seed of the load", "N");
+    options.optopt("", "seconds", "duration of the overload", "N");
+    options.optopt("", "nodes", "number of nodes", "N");
+    options.optflag("", "trace", "print the state of the bottleneck");
+    let usage_error = |e: getopts::Fail| Failure::usage(e.to_string());
+    let matches = options.parse(args).map_err(usage_error)?;
+    let missing = || Failure::usage("measure: no scenario given");
+    let scenario = matches.free.first().ok_or_else(missing)?;
     if scenario == "slopes" {
         measure::slopes::run();
         return Ok(());
@@ -71,7 +71,7 @@
     let number = |name: &str, default: u64| match matches.opt_str(name) {
         None => Ok(default),
         Some(text) => text.parse().map_err(|_| {
-            Failure::usage(format!("--{name}: `{text}` is not a number"))
+            Failure::usage(format!("--{name}: `{text}` is not a whole number"))
         }),
     };
     if scenario == "restore" {
@@ -88,7 +88,8 @@
         trace: matches.opt_present("trace"),
     };
     let report = runtime()?.block_on(measure::run(&plan))?;
-    let text = serde_json::to_string(&report).expect("plain data");
+    let text =
+        serde_json::to_string(&report).expect("report serializes to JSON");
     println!("{text}");
     Ok(())
 }
@@ -98,40 +99,43 @@
     let program = program.map_err(|e| Failure::Internal(e.to_string()))?;
     let report = measure::restore::run(&program, nodes);
     let report = runtime()?.block_on(report);
-    let late = || Failure::Internal("something did not come about".into());
-    let report = report.ok_or_else(late)?;
-    println!("{}", serde_json::to_string(&report).expect("plain data"));
+    let timed_out = || Failure::Internal("the restore run timed out".into());
+    let report = report.ok_or_else(timed_out)?;
+    println!(
+        "{}",
+        serde_json::to_string(&report).expect("report serializes to JSON")
+    );
     Ok(())
 }
 
-fn soak(words: &[String]) -> Result<(), Failure> {
+fn soak(args: &[String]) -> Result<(), Failure> {
     let mut options = Options::new();
-    options.reqopt("", "seed", "of the first run", "N");
-    options.optopt("", "count", "of runs", "N");
-    options.optopt("", "seconds", "of faults in a run", "N");
-    options.optopt("", "logs", "where logs of runs that fail go", "DIR");
-    let wrong = |e: getopts::Fail| Failure::usage(e.to_string());
-    let matches = options.parse(words).map_err(wrong)?;
+    options.reqopt("", "seed", "seed of the first run", "N");
+    options.optopt("", "count", "number of runs", "N");
+    options.optopt("", "seconds", "duration of faults in each run", "N");
+    options.optopt("", "logs", "directory for logs of failed runs", "DIR");
+    let usage_error = |e: getopts::Fail| Failure::usage(e.to_string());
+    let matches = options.parse(args).map_err(usage_error)?;
     let number = |name: &str, default: u64| {
         let text = matches.opt_str(name).unwrap_or(default.to_string());
         text.parse::<u64>().map_err(|_| {
-            Failure::usage(format!("--{name}: `{text}` is not a number"))
+            Failure::usage(format!("--{name}: `{text}` is not a whole number"))
         })
     };
     let first = number("seed", 1)?;
     let length = std::time::Duration::from_secs(number("seconds", 20)?);
-    let own = std::env::current_exe();
-    let own = own.map_err(|e| Failure::Internal(e.to_string()))?;
+    let program = std::env::current_exe();
+    let program = program.map_err(|e| Failure::Internal(e.to_string()))?;
     let logs = matches.opt_str("logs").map(std::path::PathBuf::from);
     let mut failed = 0;
     for seed in first..first + number("count", 1)? {
-        let config = soak::Config::new(own.clone(), seed);
+        let config = soak::Config::new(program.clone(), seed);
         let config = config.length(length).poison(true).restores(true);
         let report = runtime()?.block_on(soak::run(&config));
         failed += u32::from(!report.breaches.is_empty());
-        print(&report);
+        print_report(&report);
         if let (Some(dir), false) = (&logs, report.breaches.is_empty()) {
-            keep(dir, &report)?;
+            save_logs(dir, &report)?;
         }
     }
     match failed {
@@ -147,7 +151,7 @@
         .map_err(|e| Failure::Internal(e.to_string()))
 }
 
-fn print(report: &soak::Report) {
+fn print_report(report: &soak::Report) {
     let soak::Report { seed, faults, ends, .. } = report;
     let ends: Vec<String> =
         ends.iter().map(|(status, n)| format!("{status}: {n}")).collect();
@@ -157,7 +161,10 @@
     }
 }
 
-fn keep(dir: &std::path::Path, report: &soak::Report) -> Result<(), Failure> {
+fn save_logs(
+    dir: &std::path::Path,
+    report: &soak::Report,
+) -> Result<(), Failure> {
     for (node, log) in report.logs.iter().enumerate() {
         let path = dir.join(format!("seed-{}-node-{node}.log", report.seed));
         std::fs::write(&path, log).map_err(|cause| Failure::File {
--- a/crates/walnutmoor-standin/src/measure.rs
+++ b/crates/walnutmoor-standin/src/measure.rs
@@ -1,10 +1,10 @@
 /*!
-Measuring runs: starts the platform stand-in, the backend stand-ins and one
-node process beside each, puts a scenario's load and faults on them, and
-prints the figures as one JSON object.
+Measuring runs: starts the simulated platform and backend servers with one
+node process beside each, applies the load and faults of a scenario, and
+reports the figures.
 
-Node processes are this same program with the word `node`, which runs the
-daemon's own code.
+Node processes run this program with the command `node`, which runs the code of
+the daemon.
 */
 
 mod faults;
@@ -19,13 +19,13 @@
 
 use self::world::World;
 use crate::{
-    load::{Load, Manner, Phase},
+    load::{Load, Phase, RetryPolicy},
     platform::Fault,
     report::{Report, Window},
     topology::Topology,
 };
 
-/// What is brought about.
+/// The scenario of a measuring run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[allow(missing_docs)]
 pub enum Scenario {
@@ -49,26 +49,26 @@
         ("rollout", Scenario::Rollout),
     ];
 
-    /// Its name.
+    /// The name of the scenario, as on the command line.
     pub fn as_str(self) -> &'static str {
         let found = Scenario::ALL.iter().find(|(_, s)| *s == self);
         found.map_or("", |(name, _)| name)
     }
 
-    fn slows(self) -> bool {
+    fn slows_bottleneck(self) -> bool {
         use Scenario::*;
         matches!(self, Slow | Storm | Outage)
     }
 
-    fn surges(self) -> bool {
+    fn multiplies_demand(self) -> bool {
         use Scenario::*;
         matches!(self, Surge | Storm | Outage)
     }
 
-    fn manner(self) -> Manner {
+    fn retry_policy(self) -> RetryPolicy {
         match self {
-            Scenario::Storm | Scenario::Outage => Manner::Hard,
-            _ => Manner::Polite,
+            Scenario::Storm | Scenario::Outage => RetryPolicy::Aggressive,
+            _ => RetryPolicy::RetryAfter,
         }
     }
 }
@@ -78,51 +78,51 @@
 
     fn from_str(text: &str) -> Result<Scenario, Failure> {
         let found = Scenario::ALL.iter().find(|(name, _)| *name == text);
-        let wrong = || Failure::usage(format!("no scenario `{text}`"));
-        found.map(|(_, scenario)| *scenario).ok_or_else(wrong)
+        let unknown = || Failure::usage(format!("unknown scenario `{text}`"));
+        found.map(|(_, scenario)| *scenario).ok_or_else(unknown)
     }
 }
 
-/// What to measure.
+/// The parameters of a measuring run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// What is brought about.
+    /// The scenario to run.
     pub scenario: Scenario,
-    /// On which topology.
+    /// The topology to run it on.
     pub topology: Topology,
     /// `enforce` or `observe`.
     pub mode: String,
     /// The seed of the load.
     pub seed: u64,
-    /// How long the pressure lasts.
+    /// How long the overload or the faults last, in seconds.
     pub seconds: u64,
-    /// Whether to print the bottleneck's state every quarter of a second.
+    /// Whether to print the state of the bottleneck periodically.
     pub trace: bool,
 }
 
-/// How many times slower the bottleneck gets.
-const SLOWER: u64 = 10;
+/// The factor by which the bottleneck's service time grows.
+const SLOWDOWN_FACTOR: u64 = 10;
 
-/// How many times the demand grows.
-const MORE: f64 = 10.0;
+/// The factor by which the demand grows.
+const SURGE_FACTOR: f64 = 10.0;
 
-/// How long the load runs before the pressure.
-const BEFORE: Duration = Duration::from_secs(5);
+/// How long the load runs before the overload or the faults.
+const WARM_UP_DURATION: Duration = Duration::from_secs(5);
 
-/// How long the load runs after the pressure.
-const AFTER: Duration = Duration::from_secs(12);
+/// How long the load runs after them.
+const COOL_DOWN_DURATION: Duration = Duration::from_secs(12);
 
-/// How long nodes idle, to see what control costs.
-const IDLE: Duration = Duration::from_secs(3);
+/// How long idle nodes are observed, to measure the control overhead.
+const IDLE_DURATION: Duration = Duration::from_secs(3);
 
-/// The demand of `steady`, as a share of the capacity.
-const HALF: f64 = 0.5;
+/// The demand in `steady`, as a share of the capacity.
+const STEADY_DEMAND: f64 = 0.5;
 
-/// Runs a plan.
+/// Runs a plan and returns its figures.
 ///
 /// # Errors
 ///
-/// If the nodes do not come up.
+/// If the nodes do not start serving in time.
 pub async fn run(plan: &Plan) -> Result<Report, Failure> {
     let world = World::start(&plan.topology, &plan.mode).await?;
     let mut report = Report {
@@ -134,71 +134,78 @@
         ..Report::default()
     };
     if plan.scenario == Scenario::Steady {
-        let idle = world.idle(IDLE).await;
+        let idle = world.measure_idle(IDLE_DURATION).await;
         report.control_cpu_share = Some(idle.cpu_share);
         report.control_bytes_per_s = Some(idle.bytes_per_s);
     }
-    let entries = world.callers().await;
+    let entries = world.caller_addresses().await;
     let topology = plan.topology.clone();
     let oracle = world.oracle.clone();
     let load = Load::new(topology, entries, oracle, plan.seed);
     let calls_before = world.platform.calls();
-    let window = bring_about(plan, &world, &load, &mut report).await;
-    let span = load.elapsed().as_secs_f64();
+    let window = run_scenario(plan, &world, &load, &mut report).await;
+    let elapsed = load.elapsed().as_secs_f64();
     let calls = world.platform.calls() - calls_before;
-    report.platform_calls_per_s = Some(calls as f64 / span);
+    report.platform_calls_per_s = Some(calls as f64 / elapsed);
     report.capacity = capacity(plan);
     let records = load.records.lock().expect("no holder panics").clone();
-    report.count(&records, window);
+    report.add_records(&records, window);
     report.rss_mb = world.rss_mb().await;
-    judge(&mut report, &world);
+    add_oracle_figures(&mut report, &world);
     Ok(report)
 }
 
 fn capacity(plan: &Plan) -> f64 {
-    let slower = if plan.scenario.slows() { SLOWER } else { 1 };
-    plan.topology.capacity() / slower as f64
+    let slowdown =
+        if plan.scenario.slows_bottleneck() { SLOWDOWN_FACTOR } else { 1 };
+    plan.topology.capacity() / slowdown as f64
 }
 
-/// Fills in what the oracle tells.
-fn judge(report: &mut Report, world: &World) {
+/// Fills in the figures that the oracle counted.
+fn add_oracle_figures(report: &mut Report, world: &World) {
     report.wasted_share = world.oracle.wasted_share();
-    report.attempts_max = world.oracle.most_runs();
-    let told = world.oracle.not_run_but_ran();
-    report.not_run_but_ran = told.len() as u64;
-    for attempt in told.iter().take(5) {
-        eprintln!("told not run, but ran: {attempt}");
+    report.attempts_max = world.oracle.max_runs_per_request();
+    let violations = world.oracle.not_run_but_ran();
+    report.not_run_but_ran = violations.len() as u64;
+    for attempt in violations.iter().take(5) {
+        eprintln!("reported as not run, but ran: {attempt}");
     }
-    let (most, twice) = world.once_runs();
-    report.runs_max = most;
-    report.ran_twice = twice;
+    let (max_runs, ran_twice) = world.duplicate_once_runs();
+    report.runs_max = max_runs;
+    report.ran_twice = ran_twice;
 }
 
-/// Puts the load on, brings the scenario about, and takes it back.
-async fn bring_about(
+/// Runs the load with the overload or faults of the scenario in its middle
+/// phase.
+async fn run_scenario(
     plan: &Plan,
     world: &World,
     load: &Arc<Load>,
     report: &mut Report,
 ) -> Window {
-    let span = Duration::from_secs(plan.seconds);
+    let duration = Duration::from_secs(plan.seconds);
     let demand = match plan.scenario {
-        Scenario::Steady => HALF,
+        Scenario::Steady => STEADY_DEMAND,
         _ => plan.topology.demand,
     };
     let rate = demand * plan.topology.capacity();
-    let more = if plan.scenario.surges() { MORE } else { 1.0 };
-    let manner = plan.scenario.manner();
+    let surge =
+        if plan.scenario.multiplies_demand() { SURGE_FACTOR } else { 1.0 };
+    let retry_policy = plan.scenario.retry_policy();
     let phases = [
-        Phase { rate, span: BEFORE, manner: Manner::Polite },
-        Phase { rate: rate * more, span, manner },
-        Phase { rate, span: AFTER, manner },
+        Phase {
+            rate,
+            duration: WARM_UP_DURATION,
+            retry_policy: RetryPolicy::RetryAfter,
+        },
+        Phase { rate: rate * surge, duration, retry_policy },
+        Phase { rate, duration: COOL_DOWN_DURATION, retry_policy },
     ];
-    let from = load.elapsed() + BEFORE;
-    let window = Window { from, to: from + span };
+    let from = load.elapsed() + WARM_UP_DURATION;
+    let window = Window { from, to: from + duration };
     let faults = async {
-        tokio::time::sleep(BEFORE).await;
-        press(plan, world, load, report).await;
+        tokio::time::sleep(WARM_UP_DURATION).await;
+        apply_faults(plan, world, load, report).await;
     };
     let trace = async {
         match plan.trace {
@@ -213,56 +220,58 @@
     window
 }
 
-/// Prints the state of the bottleneck's nodes, one line a look.
+/// Prints the state of the bottleneck's nodes periodically, one line each
+/// time.
 async fn trace(plan: &Plan, world: &World, load: &Arc<Load>) {
     let name = plan.topology.bottleneck().name.to_string();
     loop {
         let mut line = format!("{:6}ms", load.elapsed().as_millis());
-        for node in world.operators().await {
+        for node in world.operator_addresses().await {
             let Some(status) = world.status(node).await else { continue };
-            let s = &status["status"];
-            if s["announced"]["service"] != name.as_str() {
-                if s["level"] != "open" {
-                    let service = &s["announced"]["service"];
-                    let part = format!(" ({service} {})", s["level"]);
-                    line.push_str(&part);
+            let status = &status["status"];
+            if status["announced"]["service"] != name.as_str() {
+                if status["level"] != "open" {
+                    let service = &status["announced"]["service"];
+                    let text = format!(" ({service} {})", status["level"]);
+                    line.push_str(&text);
                 }
                 continue;
             }
-            let part = format!(
+            let text = format!(
                 " | level {} run {} wait {}",
-                s["level"], s["running"], s["queued"]
+                status["level"], status["running"], status["queued"]
             );
-            line.push_str(&part);
+            line.push_str(&text);
         }
         eprintln!("{line}");
         tokio::time::sleep(Duration::from_millis(250)).await;
     }
 }
 
-async fn press(
+/// Applies the faults of the scenario for its duration, then removes them.
+async fn apply_faults(
     plan: &Plan,
     world: &World,
     load: &Arc<Load>,
     report: &mut Report,
 ) {
-    let span = Duration::from_secs(plan.seconds);
+    let duration = Duration::from_secs(plan.seconds);
     let bottleneck = &plan.topology.bottleneck().name;
-    if plan.scenario.slows() {
-        world.slow_down(bottleneck, SLOWER);
+    if plan.scenario.slows_bottleneck() {
+        world.set_slowdown(bottleneck, SLOWDOWN_FACTOR);
     }
     if plan.scenario == Scenario::Outage {
-        world.platform.set(Fault::Down);
+        world.platform.set_fault(Fault::Down);
     }
     match plan.scenario {
         Scenario::Churn => {
-            faults::churn(world, load, span, plan.seed, report).await
+            faults::churn(world, load, duration, plan.seed, report).await
         }
         Scenario::Rollout => {
-            faults::rollout(world, load, span, plan.seed, report).await
+            faults::rollout(world, load, duration, plan.seed, report).await
         }
-        _ => tokio::time::sleep(span).await,
+        _ => tokio::time::sleep(duration).await,
     }
-    world.slow_down(bottleneck, 1);
-    world.platform.set(Fault::None);
+    world.set_slowdown(bottleneck, 1);
+    world.platform.set_fault(Fault::None);
 }
--- a/crates/walnutmoor-standin/src/measure/restore.rs
+++ b/crates/walnutmoor-standin/src/measure/restore.rs
@@ -1,10 +1,11 @@
 /*!
-What a restore of the store costs a fleet: how long until the next change is in
-force on every node, until all records stand again, and how many calls the
-store gets for it.
+Measures what a restore of the store costs a fleet: the time until the next
+change is in force on every node, the time until all node records are written
+again, and the number of calls to the store.
 
-Nodes are processes on one machine, in three zones, with no load. The store is
-away for a second and comes back from a copy that is older than every record.
+The nodes are processes on one machine, in three zones, without load. The store
+is down for a while and returns with a snapshot that is older than every node
+record.
 */
 
 use std::{path::Path, sync::Arc, time::Duration};
@@ -27,122 +28,129 @@
     store::{Fate, Store},
 };
 
-/// Versions before the restore; the last three are lost.
-const LOST: [u64; 3] = [2, 3, 4];
+/// The versions that are written after the snapshot and lost by the restore.
+const LOST_VERSIONS: [u64; 3] = [2, 3, 4];
 
-/// The version that follows.
-const NEXT: u64 = 5;
+/// The version that is written after the restore.
+const NEXT_VERSION: u64 = 5;
 
-/// How long the store is away.
-const AWAY: Duration = Duration::from_secs(1);
+/// How long the store is down.
+const STORE_DOWNTIME: Duration = Duration::from_secs(1);
 
-/// How long after its return the operator writes again.
-const AGAIN: Duration = Duration::from_millis(300);
+/// The delay between the return of the store and the next write.
+const WRITE_DELAY: Duration = Duration::from_millis(300);
 
-/// The pause between two looks at a node.
-const LOOK: Duration = Duration::from_millis(20);
+/// The interval between polls of a node.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long anything may take before a run is given up.
-const PATIENCE: Duration = Duration::from_secs(120);
+/// The time limit for each condition, after which the run is given up.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Within how long after its return calls to the store count.
-const COUNTED: Duration = Duration::from_secs(10);
+/// The time after the return of the store in which its calls are counted.
+const CALL_COUNT_WINDOW: Duration = Duration::from_secs(10);
 
-/// What one restore cost.
+/// The cost of one restore.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Nodes of the fleet.
+    /// The number of nodes.
     pub nodes: usize,
-    /// From the operator's next change to in force on the first node.
+    /// The time from the next change until it is in force on the first node.
     pub in_force_first_ms: u64,
-    /// The same for the last one.
+    /// The time from the next change until it is in force on all nodes.
     pub in_force_last_ms: u64,
-    /// From the store's return until all records stood again.
+    /// The time from the return of the store until all node records were
+    /// written again.
     pub records_ms: u64,
-    /// Calls to the store within ten seconds of its return.
+    /// Calls to the store in the ten seconds after its return.
     pub calls: u64,
 }
 
-/// Plays one restore; `None` if something did not come about in time.
+/// Runs one restore. Returns `None` if a condition is not reached in time.
 pub async fn run(program: &Path, nodes: usize) -> Option<Report> {
     let store = Store::start().await;
     store.write_desired(&desired(1));
-    let copy = store.snapshot();
-    let all = (0..nodes).map(|index| start(program, &store, index));
-    let fleet: Vec<Node> = all.collect();
-    let listed = || async { store.nodes().len() == nodes };
-    until(listed).await?;
-    for version in LOST {
+    let snapshot = store.snapshot();
+    let started = (0..nodes).map(|index| start(program, &store, index));
+    let fleet: Vec<Node> = started.collect();
+    let all_registered = || async { store.nodes().len() == nodes };
+    until(all_registered).await?;
+    for version in LOST_VERSIONS {
         store.write_desired(&desired(version));
         in_force(&fleet, version).await?;
     }
     store.set_down(true);
-    sleep(AWAY).await;
-    store.restore(&copy, Fate::Cut);
-    let before = store.calls();
+    sleep(STORE_DOWNTIME).await;
+    store.restore(&snapshot, Fate::Cut);
+    let calls_before = store.calls();
     store.set_down(false);
-    let back = Instant::now();
+    let returned_at = Instant::now();
     let records = async {
-        until(listed).await?;
-        Some(back.elapsed())
+        until(all_registered).await?;
+        Some(returned_at.elapsed())
     };
     let change = async {
-        sleep(AGAIN).await;
-        store.write_desired(&desired(LOST[2]));
-        store.write_desired(&desired(NEXT));
-        in_force(&fleet, NEXT).await
+        sleep(WRITE_DELAY).await;
+        store.write_desired(&desired(LOST_VERSIONS[2]));
+        store.write_desired(&desired(NEXT_VERSION));
+        in_force(&fleet, NEXT_VERSION).await
     };
     let (records, change) = tokio::join!(records, change);
     let (first, last) = change?;
     let records = records?;
-    sleep(COUNTED.saturating_sub(back.elapsed())).await;
+    sleep(CALL_COUNT_WINDOW.saturating_sub(returned_at.elapsed())).await;
     Some(Report {
         nodes,
         in_force_first_ms: first.as_millis() as u64,
         in_force_last_ms: last.as_millis() as u64,
         records_ms: records.as_millis() as u64,
-        calls: store.calls() - before,
+        calls: store.calls() - calls_before,
     })
 }
 
-/// How long until a version is in force on the first node, and on the last.
+/// Waits until a version is in force on all nodes. Returns the times until it
+/// was in force on the first and on the last one.
 async fn in_force(
     fleet: &[Node],
     version: u64,
 ) -> Option<(Duration, Duration)> {
-    let since = Instant::now();
-    let mut looks = JoinSet::new();
+    let started_at = Instant::now();
+    let mut polls = JoinSet::new();
     for node in fleet {
-        let at = node.addresses().metrics;
-        looks.spawn(async move {
+        let address = node.addresses().metrics;
+        polls.spawn(async move {
             let line = format!("walnutmoor_version {version}");
             let metrics = || async {
-                let get =
-                    caller::send(at, Method::GET, "/", &[], String::new());
-                let answer = get.await;
-                answer.is_some_and(|a| a.body.lines().any(|l| l == line))
+                let request = caller::send(
+                    address,
+                    Method::GET,
+                    "/",
+                    &[],
+                    String::new(),
+                );
+                let response = request.await;
+                response.is_some_and(|r| r.body.lines().any(|l| l == line))
             };
             until(metrics).await?;
-            Some(since.elapsed())
+            Some(started_at.elapsed())
         });
     }
-    let mut spans = Vec::new();
-    while let Some(span) = looks.join_next().await {
-        spans.push(span.ok()??);
+    let mut durations = Vec::new();
+    while let Some(duration) = polls.join_next().await {
+        durations.push(duration.ok()??);
     }
-    Some((*spans.iter().min()?, *spans.iter().max()?))
+    Some((*durations.iter().min()?, *durations.iter().max()?))
 }
 
-/// Waits for a condition; `None` if it does not come true in time.
+/// Waits until a condition holds. Returns `None` if it times out.
 async fn until<F: Future<Output = bool>>(
     mut holds: impl FnMut() -> F,
 ) -> Option<()> {
     let wait = async {
         while !holds().await {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     };
-    timeout(PATIENCE, wait).await.ok()
+    timeout(CONDITION_TIMEOUT, wait).await.ok()
 }
 
 fn start(program: &Path, store: &Arc<Store>, index: usize) -> Node {
--- a/crates/walnutmoor-standin/src/measure/slopes.rs
+++ b/crates/walnutmoor-standin/src/measure/slopes.rs
@@ -1,5 +1,5 @@
-//! Slopes for the capacity page: real parts of the core, filled with 1,000,
-//! 4,000 and 14,000 members, one JSON line a figure.
+//! Measures how memory, time and message sizes of the core grow with the
+//! number of members. Prints one JSON line per figure.
 
 use std::{hint::black_box, time::Instant};
 
@@ -22,7 +22,7 @@
 
 use super::probe;
 
-/// One figure.
+/// A measured value.
 #[derive(Debug, Serialize)]
 struct Figure {
     name: &'static str,
@@ -33,33 +33,33 @@
 
 fn print(name: &'static str, members: usize, value: f64, unit: &'static str) {
     let figure = Figure { name, members, value, unit };
-    let text = serde_json::to_string(&figure).expect("plain data");
+    let text = serde_json::to_string(&figure).expect("a figure serializes");
     println!("{text}");
 }
 
-/// The sizes; the last is the target's.
-const SIZES: [usize; 3] = [1_000, 4_000, 14_000];
+/// The member counts to measure.
+const MEMBER_COUNTS: [usize; 3] = [1_000, 4_000, 14_000];
 
-/// Services of the target.
-const SERVICES: usize = 1_300;
+/// The number of services.
+const SERVICE_COUNT: usize = 1_300;
 
-/// Zones of the target.
-const ZONES: usize = 6;
+/// The number of availability zones.
+const ZONE_COUNT: usize = 6;
 
-/// How often a step is repeated for its mean time.
-const TIMES: usize = 10_000;
+/// The number of iterations over which a time is averaged.
+const ITERATIONS: usize = 10_000;
 
 /// Prints all figures.
 pub fn run() {
-    for members in SIZES {
-        directory(members);
+    for members in MEMBER_COUNTS {
+        measure_membership(members);
     }
-    for members in SIZES {
-        decision(members);
+    for members in MEMBER_COUNTS {
+        measure_call(members);
     }
-    levels();
-    configuration();
-    marks();
+    measure_admission();
+    measure_configuration();
+    measure_tickets();
 }
 
 fn node_id(index: usize) -> NodeId {
@@ -68,13 +68,13 @@
 }
 
 fn zone(index: usize) -> Zone {
-    let text = format!("zone-{}", index % ZONES);
-    text.parse().expect("a legal name")
+    let text = format!("zone-{}", index % ZONE_COUNT);
+    text.parse().expect("a valid name")
 }
 
 fn service(index: usize) -> Service {
-    let text = format!("service-{:04}", index % SERVICES);
-    text.parse().expect("a legal name")
+    let text = format!("service-{:04}", index % SERVICE_COUNT);
+    text.parse().expect("a valid name")
 }
 
 fn record(index: usize) -> Record {
@@ -96,16 +96,17 @@
     probe::rss_mb(std::process::id()).unwrap_or(0.0) * 1024.0
 }
 
-fn micros(begun: Instant, times: usize) -> f64 {
-    begun.elapsed().as_secs_f64() * 1e6 / times as f64
+fn mean_micros(started_at: Instant, iterations: usize) -> f64 {
+    started_at.elapsed().as_secs_f64() * 1e6 / iterations as f64
 }
 
-fn filled(members: usize) -> Gossip {
+/// A gossip instance that knows `members` members and has no pending updates.
+fn populated_gossip(members: usize) -> Gossip {
     let mut gossip = Gossip::new(record(0), Millis(0));
     for index in 1..members {
         gossip.members_mut().merge(Millis(1), &record(index));
     }
-    // The news of all is spread; what is left is the steady state.
+    // Drains the pending updates, to reach the steady state.
     while gossip.members().pending_updates() > 0 {
         gossip.members_mut().take_updates(member::PACKET_UPDATES_MAX);
     }
@@ -113,30 +114,35 @@
     gossip
 }
 
-/// Memory, time and bytes of membership and its repair.
-fn directory(members: usize) {
+/// Memory, processing time and packet sizes of membership and its repair.
+fn measure_membership(members: usize) {
     let before = rss_kb();
-    let mut gossip = filled(members);
+    let mut gossip = populated_gossip(members);
     let bytes = (rss_kb() - before).max(0.0) * 1024.0 / members as f64;
     print("directory_memory_per_member", members, bytes, "B");
 
-    let begun = Instant::now();
-    for round in 0..TIMES {
+    let started_at = Instant::now();
+    for round in 0..ITERATIONS {
         let mut changed = record(1 + round % (members - 1));
         changed.version += 1 + round as u64;
         gossip.members_mut().merge(Millis(2), &changed);
         gossip.members_mut().take_updates(member::PACKET_UPDATES_MAX);
     }
-    print("learn_one_record", members, micros(begun, TIMES), "us");
+    print(
+        "learn_one_record",
+        members,
+        mean_micros(started_at, ITERATIONS),
+        "us",
+    );
 
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut out = Vec::new();
     let mut now = Millis(10);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for _ in 0..1_000 {
         now += member::PROBE_INTERVAL;
         gossip.tick(now, &mut rng, &mut out);
-        // All answer at once: the fleet is well.
+        // Acknowledges each probe at once, as a healthy member would.
         for (_, body) in std::mem::take(&mut out) {
             if let Body::Member(member::Message::Probe { seq }) = body {
                 let ack = member::Message::Ack { seq };
@@ -146,11 +152,12 @@
             }
         }
     }
-    print("probe_period", members, micros(begun, 1_000), "us");
-    packets(members, &mut gossip);
+    print("probe_period", members, mean_micros(started_at, 1_000), "us");
+    measure_packets(members, &mut gossip);
 }
 
-fn packets(members: usize, gossip: &mut Gossip) {
+/// Sizes of membership packets.
+fn measure_packets(members: usize, gossip: &mut Gossip) {
     while gossip.members().pending_updates() > 0 {
         gossip.members_mut().take_updates(member::PACKET_UPDATES_MAX);
     }
@@ -162,8 +169,8 @@
         changed.version += u64::from(u32::MAX);
         changed
     });
-    let news = gossip.build_packet(Revision(1), probe).encode().len();
-    print("news_item", members, (news - empty) as f64, "B");
+    let with_update = gossip.build_packet(Revision(1), probe).encode().len();
+    print("news_item", members, (with_update - empty) as f64, "B");
     let digests = gossip.members().directory().digests().to_vec();
     let body = Body::Digests(digests);
     let size = gossip.build_packet(Revision(1), body).encode().len();
@@ -174,8 +181,8 @@
     print("repair_bucket", members, size as f64, "B");
 }
 
-/// One decision of the whole node, with so many servers known.
-fn decision(members: usize) {
+/// The time of one call in a node that knows `members` servers.
+fn measure_call(members: usize) {
     let config = node::Config::new(node_id(0)).zone(zone(0)).seed(3);
     let mut node = Node::new(config, Millis(0));
     let mut out = Vec::new();
@@ -185,27 +192,27 @@
         let reply = Reply::Absent;
         node.handle(Millis(1), Event::Platform { op, reply }, &mut out);
     }
-    let mut other = filled(members);
+    let mut other = populated_gossip(members);
     for index in 0..members.div_ceil(16) {
-        let news = (0..16).map(|i| record((1 + index * 16 + i) % members));
+        let updates = (0..16).map(|i| record((1 + index * 16 + i) % members));
         let ack = Body::Member(member::Message::Ack { seq: 0 });
         let mut packet = other.build_packet(Revision(0), ack);
-        packet.updates = news.collect();
+        packet.updates = updates.collect();
         let event = Event::Packet(Box::new(packet));
         node.handle(Millis(2), event, &mut out);
     }
     out.clear();
-    let begun = Instant::now();
-    for round in 0..TIMES {
-        call(&mut node, round, &mut out);
+    let started_at = Instant::now();
+    for round in 0..ITERATIONS {
+        handle_call(&mut node, round, &mut out);
         out.clear();
     }
-    let each = micros(begun, TIMES);
+    let each = mean_micros(started_at, ITERATIONS);
     print("call_out_and_back", members, each, "us");
 }
 
-/// A call arrives, is admitted, routed and sent, and its answer returned.
-fn call(
+/// Handles one call: arrival, admission, routing, dispatch and response.
+fn handle_call(
     node: &mut Node<node::Starting>,
     round: usize,
     out: &mut Vec<node::Action>,
@@ -234,12 +241,13 @@
     black_box(&out);
 }
 
-/// The level controller and a way in's view of a path 29 deep.
-fn levels() {
+/// The admission level controller, and an entry node's view of a call path
+/// with 29 services.
+fn measure_admission() {
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     let mut controller = Controller::new();
-    let begun = Instant::now();
-    for round in 0..TIMES {
+    let started_at = Instant::now();
+    for round in 0..ITERATIONS {
         for _ in 0..4 {
             let key = walnutmoor_core::class::Key(rng.random_range(0..900));
             controller.record_arrival(key, Level::OPEN);
@@ -253,10 +261,10 @@
         };
         controller.tick(Millis(100 * round as u64), sample);
     }
-    print("level_window", 0, micros(begun, TIMES), "us");
+    print("level_window", 0, mean_micros(started_at, ITERATIONS), "us");
 
     let mut view = View::new();
-    let class: walnutmoor_core::id::Class = "a".parse().expect("legal");
+    let class: walnutmoor_core::id::Class = "a".parse().expect("a valid name");
     for index in 0..29 {
         let report = walnutmoor_core::admit::Report {
             origin: node_id(index),
@@ -268,11 +276,11 @@
         view.record_path(Millis(1), &class, &service(0), &service(index));
     }
     let entry = service(0);
-    let begun = Instant::now();
-    for _ in 0..TIMES {
+    let started_at = Instant::now();
+    for _ in 0..ITERATIONS {
         black_box(view.strictest_level(Millis(2), &class, &entry));
     }
-    print("admission_29_deep", 0, micros(begun, TIMES), "us");
+    print("admission_29_deep", 0, mean_micros(started_at, ITERATIONS), "us");
     let reports = (0..29).flat_map(|i| view.reports(Millis(2), &service(i)));
     let reports = reports.collect();
     let trailer = Trailer { reports, ..Trailer::default() };
@@ -280,14 +288,15 @@
     print("trailer_29_deep", 0, size as f64, "B");
 }
 
-/// A configuration of 1,300 services with a class each.
-fn configuration() {
+/// Sizes and ranking time of a configuration with one class per service.
+fn measure_configuration() {
     let mut config = Config::default();
-    for index in 0..SERVICES {
+    for index in 0..SERVICE_COUNT {
         let mut class = walnutmoor_core::class::Class::internal();
-        class.name = format!("class-{index:04}").parse().expect("legal");
+        class.name =
+            format!("class-{index:04}").parse().expect("a valid name");
         let author = Author {
-            change: format!("{index:032x}").parse().expect("legal"),
+            change: format!("{index:032x}").parse().expect("a valid id"),
             by: "operator".to_string(),
             at: 1_796_000_000_000,
         };
@@ -296,25 +305,27 @@
     let entry = config.journal[0].clone();
     let keep = config.journal.len() - 64;
     config.journal.drain(..keep);
-    let json = serde_json::to_string(&config).expect("plain data");
-    print("configuration_object", SERVICES, json.len() as f64, "B");
+    let json = serde_json::to_string(&config).expect("a config serializes");
+    print("configuration_object", SERVICE_COUNT, json.len() as f64, "B");
     let mut gossip = Gossip::new(record(0), Millis(0));
-    let size = |gossip: &mut Gossip, body: Body| {
+    let packet_size = |gossip: &mut Gossip, body: Body| {
         gossip.build_packet(Revision(1), body).encode().len() as f64
     };
-    let change = size(&mut gossip, Body::Entries(vec![entry]));
+    let change = packet_size(&mut gossip, Body::Entries(vec![entry]));
     print("change_packet", 1, change, "B");
-    let whole = size(&mut gossip, Body::Snapshot(Box::new(config.clone())));
-    print("whole_configuration_packet", SERVICES, whole, "B");
-    let begun = Instant::now();
+    let snapshot =
+        packet_size(&mut gossip, Body::Snapshot(Box::new(config.clone())));
+    print("whole_configuration_packet", SERVICE_COUNT, snapshot, "B");
+    let started_at = Instant::now();
     for _ in 0..100 {
         black_box(Table::new(&config));
     }
-    print("rank_classes", SERVICES, micros(begun, 100), "us");
+    print("rank_classes", SERVICE_COUNT, mean_micros(started_at, 100), "us");
 }
 
-/// A witness's table and an owner's ledger.
-fn marks() {
+/// Memory of an owner's ledger, and memory and marking time of a witness's
+/// table.
+fn measure_tickets() {
     let party = |index| Party {
         node: node_id(index),
         incarnation: Incarnation(index as u64),
@@ -331,11 +342,11 @@
     print("ledger_memory_per_ticket", 20_000, bytes, "B");
     let before = rss_kb();
     let mut table = witness::Table::new(party(1), 100_000);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for ticket in &tickets {
         black_box(table.mark(Millis(2), ticket));
     }
-    print("mark", 20_000, micros(begun, 20_000), "us");
+    print("mark", 20_000, mean_micros(started_at, 20_000), "us");
     let bytes = (rss_kb() - before) * 1024.0 / 20_000.0;
     print("witness_memory_per_mark", 20_000, bytes, "B");
     let mut gossip = Gossip::new(record(0), Millis(0));
--- a/crates/walnutmoor-standin/src/measure/world.rs
+++ b/crates/walnutmoor-standin/src/measure/world.rs
@@ -1,4 +1,4 @@
-//! The processes and stand-ins of one measuring run.
+//! The node processes and test doubles of a measuring run.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,19 +14,19 @@
 use crate::{
     backend::{self, Backend},
     child,
-    client::{Attempt, Came, Client},
+    client::{Attempt, Client, Outcome},
     oracle::Oracle,
     platform::Platform,
-    topology::{Offered, Topology},
+    topology::{ServiceSpec, Topology},
 };
 
-/// One backend server and the node beside it.
+/// A backend server and the node beside it.
 pub(super) struct Pair {
     pub(super) backend: Arc<Backend>,
     pub(super) node: child::Node,
 }
 
-/// Everything that runs.
+/// The environment of a measuring run.
 pub(super) struct World {
     pub(super) topology: Topology,
     pub(super) platform: Arc<Platform>,
@@ -36,16 +36,18 @@
     pub(super) client: Client,
 }
 
-/// What control costs a node that serves no calls.
-pub(super) struct Idle {
+/// The mean control overhead of a node that serves no calls.
+pub(super) struct IdleOverhead {
     pub(super) cpu_share: f64,
     pub(super) bytes_per_s: f64,
 }
 
-/// How long nodes may take to come up.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The time limit for nodes to start and discover each other.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
 
 impl World {
+    /// Starts the platform, the backend servers and their nodes, and waits
+    /// until the nodes know each other.
     pub(super) async fn start(
         topology: &Topology,
         mode: &str,
@@ -70,23 +72,25 @@
             backends,
             client: Client::new(),
         };
-        world.wait_until_whole().await?;
+        world.wait_until_converged().await?;
         Ok(world)
     }
 
-    /// Waits until each node knows all others and agrees with one.
-    async fn wait_until_whole(&self) -> Result<(), Failure> {
-        let nodes = self.operators().await;
-        let want = nodes.len() as u64;
-        let begun = tokio::time::Instant::now();
+    /// Waits until each node serves and knows all members.
+    async fn wait_until_converged(&self) -> Result<(), Failure> {
+        let nodes = self.operator_addresses().await;
+        let expected = nodes.len() as u64;
+        let started_at = tokio::time::Instant::now();
         for node in nodes {
             loop {
                 let known = self.members(node).await;
-                if known == Some(want) {
+                if known == Some(expected) {
                     break;
                 }
-                if begun.elapsed() > PATIENCE {
-                    let message = format!("{node} knows {known:?} of {want}");
+                if started_at.elapsed() > STARTUP_TIMEOUT {
+                    let message = format!(
+                        "{node} knows {known:?} of {expected} members"
+                    );
                     return Err(Failure::Internal(message));
                 }
                 tokio::time::sleep(Duration::from_millis(50)).await;
@@ -102,27 +106,29 @@
         status["members"].as_u64()
     }
 
-    /// A node's status.
+    /// The status of the node at an operator address, or `None` if it cannot
+    /// be read.
     pub(super) async fn status(
         &self,
         node: SocketAddr,
     ) -> Option<serde_json::Value> {
-        let ask = Attempt::get("/v1/status");
-        let Came::Answer { body, .. } = self.client.send(node, ask).await
+        let attempt = Attempt::get("/v1/status");
+        let Outcome::Response { body, .. } =
+            self.client.send(node, attempt).await
         else {
             return None;
         };
         serde_json::from_slice(&body).ok()
     }
 
-    pub(super) async fn operators(&self) -> Vec<SocketAddr> {
+    pub(super) async fn operator_addresses(&self) -> Vec<SocketAddr> {
         let pairs = self.pairs.lock().await;
-        pairs.iter().map(|p| p.node.operator()).collect()
+        pairs.iter().map(|p| p.node.operator_address()).collect()
     }
 
-    pub(super) async fn callers(&self) -> Vec<SocketAddr> {
+    pub(super) async fn caller_addresses(&self) -> Vec<SocketAddr> {
         let pairs = self.pairs.lock().await;
-        pairs.iter().map(|p| p.node.caller()).collect()
+        pairs.iter().map(|p| p.node.caller_address()).collect()
     }
 
     async fn pids(&self) -> Vec<u32> {
@@ -130,99 +136,103 @@
         pairs.iter().map(|p| p.node.pid()).collect()
     }
 
-    /// Makes the servers of a service so many times slower.
-    pub(super) fn slow_down(&self, service: &Service, times: u64) {
+    /// Multiplies the service time of all servers of a service.
+    pub(super) fn set_slowdown(&self, service: &Service, factor: u64) {
         let all = self.backends.iter();
         let of_service = all.filter(|b| b.service() == service);
-        of_service.for_each(|b| b.slow_down(times));
+        of_service.for_each(|b| b.set_slowdown(factor));
     }
 
-    /// Lets nodes idle, and sees what they spend: the mean over nodes.
-    pub(super) async fn idle(&self, span: Duration) -> Idle {
+    /// Measures the overhead of idle nodes for a time.
+    pub(super) async fn measure_idle(
+        &self,
+        duration: Duration,
+    ) -> IdleOverhead {
         let pids = self.pids().await;
-        let nodes = self.operators().await;
-        let cpu: f64 = pids.iter().map(|p| probe::cpu_secs(*p)).sum();
-        let bytes = self.control_bytes(&nodes).await;
-        tokio::time::sleep(span).await;
-        let spent: f64 = pids.iter().map(|p| probe::cpu_secs(*p)).sum();
-        let sent = self.control_bytes(&nodes).await;
-        let count = pids.len() as f64 * span.as_secs_f64();
-        Idle {
-            cpu_share: (spent - cpu) / count,
-            bytes_per_s: (sent - bytes) / count,
+        let nodes = self.operator_addresses().await;
+        let cpu_before: f64 = pids.iter().map(|p| probe::cpu_secs(*p)).sum();
+        let bytes_before = self.control_bytes(&nodes).await;
+        tokio::time::sleep(duration).await;
+        let cpu_after: f64 = pids.iter().map(|p| probe::cpu_secs(*p)).sum();
+        let bytes_after = self.control_bytes(&nodes).await;
+        let node_secs = pids.len() as f64 * duration.as_secs_f64();
+        IdleOverhead {
+            cpu_share: (cpu_after - cpu_before) / node_secs,
+            bytes_per_s: (bytes_after - bytes_before) / node_secs,
         }
     }
 
+    /// The sum of control bytes that the nodes have sent so far.
     async fn control_bytes(&self, nodes: &[SocketAddr]) -> f64 {
         let mut sum = 0.0;
         for node in nodes {
-            let ask = Attempt::get("/metrics");
-            if let Came::Answer { body, .. } =
-                self.client.send(*node, ask).await
+            let attempt = Attempt::get("/metrics");
+            if let Outcome::Response { body, .. } =
+                self.client.send(*node, attempt).await
             {
                 let text = String::from_utf8_lossy(&body).into_owned();
                 let name = "walnutmoor_control_bytes_total";
-                sum += probe::metric(&text, name);
+                sum += probe::metric_sum(&text, name);
             }
         }
         sum
     }
 
-    /// The largest resident size of a node, in megabytes.
+    /// The largest resident set size of a node, in mebibytes.
     pub(super) async fn rss_mb(&self) -> Option<f64> {
         let pids = self.pids().await;
         let sizes = pids.iter().filter_map(|p| probe::rss_mb(*p));
         sizes.max_by(f64::total_cmp)
     }
 
-    /// The most runs of a once request at its entry service, and how many
-    /// requests ran more than once there.
-    pub(super) fn once_runs(&self) -> (u32, u64) {
+    /// For requests of kind `once` at their entry services: the maximum number
+    /// of runs of one request, and the number of requests that ran more than
+    /// once.
+    pub(super) fn duplicate_once_runs(&self) -> (u32, u64) {
         let classes = self.topology.classes.iter();
         let once = classes.filter(|w| w.kind == Kind::Once);
         let entries: Vec<&str> = once.map(|w| w.entry.as_str()).collect();
-        self.oracle.repeats(&entries)
+        self.oracle.duplicate_runs(&entries)
     }
 }
 
-/// The configuration that the platform holds from the start.
+/// The initial configuration in the platform, as JSON.
 pub(super) fn configuration(topology: &Topology) -> String {
     let mut config = Config::default();
-    for (index, work) in topology.classes.iter().enumerate() {
+    for (index, workload) in topology.classes.iter().enumerate() {
         let target = walnutmoor_core::class::Target {
-            share: work.share,
-            within: work.within.0,
+            share: workload.share,
+            within: workload.within.0,
         };
-        let name = work.name.clone();
-        let class = Class { name, kind: work.kind, target };
+        let name = workload.name.clone();
+        let class = Class { name, kind: workload.kind, target };
         let author = Author {
-            change: format!("start-{index}").parse().expect("a legal id"),
+            change: format!("start-{index}").parse().expect("a valid id"),
             by: "measure".to_string(),
             at: 0,
         };
         config.apply(author, Op::Set(class));
     }
-    serde_json::to_string(&config).expect("plain data serializes")
+    serde_json::to_string(&config).expect("a config serializes")
 }
 
-/// How often a backend stand-in repeats a deeper call that failed: the
-/// brief's layers each retry.
-const LAYER_RETRIES: u32 = 2;
+/// The maximum number of retries of a nested call by a backend server.
+const MAX_NESTED_RETRIES: u32 = 2;
 
 async fn start_pair(
-    service: &Offered,
+    service: &ServiceSpec,
     zone: &Zone,
     mode: &str,
     platform: &Platform,
     oracle: &Arc<Oracle>,
 ) -> Pair {
-    let ports = child::Ports::draw();
+    let ports = child::Ports::allocate();
     let setup = backend::Setup {
         service: service.name.clone(),
         slots: service.slots,
-        time: Duration::from_millis(service.service_ms),
+        service_time: Duration::from_millis(service.service_ms),
         calls: service.calls.clone(),
-        retries: LAYER_RETRIES,
+        max_retries: MAX_NESTED_RETRIES,
         node: ([127, 0, 0, 1], ports.caller).into(),
     };
     let backend = Backend::start(setup, oracle.clone()).await;
--- a/crates/walnutmoor-standin/src/mesh/node.rs
+++ b/crates/walnutmoor-standin/src/mesh/node.rs
@@ -35,7 +35,7 @@
 impl Addresses {
     /// Free ones.
     pub fn draw() -> Addresses {
-        let (a, b) = (Ports::draw(), Ports::draw());
+        let (a, b) = (Ports::allocate(), Ports::allocate());
         let local = |port| SocketAddr::from(([127, 0, 0, 1], port));
         Addresses {
             peers: local(a.node),
--- a/crates/walnutmoor-standin/src/oracle.rs
+++ b/crates/walnutmoor-standin/src/oracle.rs
@@ -1,105 +1,104 @@
 /*!
-The oracle: what really ran, by attempt and by request, counted by the
-backend stand-ins themselves.
+The oracle counts the calls that backend servers ran, by attempt and by
+request, independently of what callers were told.
 */
 
 use std::{collections::HashMap, sync::Mutex};
 
-/// Identifies one call that was sent once by somebody: a caller's attempt,
-/// or a backend stand-in's deeper call.
-pub type Attempt = String;
+/// Identifies one attempt of a caller, or one nested call of a backend server.
+pub type AttemptId = String;
 
 #[derive(Debug, Default)]
-struct Seen {
-    by_attempt: HashMap<Attempt, u32>,
+struct Counts {
+    by_attempt: HashMap<AttemptId, u32>,
+    /// Runs by service and request.
     by_request: HashMap<(String, String), u32>,
-    refused: Vec<Attempt>,
+    reported_not_run: Vec<AttemptId>,
     wasted: u64,
     runs: u64,
 }
 
-/// Counts runs.
+/// Counts the calls that ran.
 #[derive(Debug, Default)]
 pub struct Oracle {
-    seen: Mutex<Seen>,
+    counts: Mutex<Counts>,
 }
 
 impl Oracle {
-    /// Nothing ran yet.
+    /// Creates an oracle without runs.
     pub fn new() -> Oracle {
         Oracle::default()
     }
 
-    fn seen(&self) -> std::sync::MutexGuard<'_, Seen> {
-        self.seen.lock().expect("no holder panics")
+    fn counts(&self) -> std::sync::MutexGuard<'_, Counts> {
+        self.counts.lock().expect("no holder panics")
     }
 
-    /// A backend server began to run a call.
-    pub fn ran(&self, service: &str, request: &str, attempt: &str) {
-        let mut seen = self.seen();
-        seen.runs += 1;
-        *seen.by_attempt.entry(attempt.to_string()).or_default() += 1;
+    /// Records that a backend server started to run a call.
+    pub fn record_run(&self, service: &str, request: &str, attempt: &str) {
+        let mut counts = self.counts();
+        counts.runs += 1;
+        *counts.by_attempt.entry(attempt.to_string()).or_default() += 1;
         let request = (service.to_string(), request.to_string());
-        *seen.by_request.entry(request).or_default() += 1;
+        *counts.by_request.entry(request).or_default() += 1;
     }
 
-    /// Somebody was told that an attempt was not run.
-    pub fn told_not_run(&self, attempt: &str) {
-        self.seen().refused.push(attempt.to_string());
+    /// Records that a refusal reported an attempt as not run.
+    pub fn record_reported_not_run(&self, attempt: &str) {
+        self.counts().reported_not_run.push(attempt.to_string());
     }
 
-    /// Work was done for nothing: its whole request failed.
-    pub fn wasted(&self, runs: u64) {
-        self.seen().wasted += runs;
+    /// Records runs whose request failed.
+    pub fn record_wasted(&self, runs: u64) {
+        self.counts().wasted += runs;
     }
 
-    /// How often a service ran for a request.
+    /// The number of runs of a service for a request.
     pub fn runs_of(&self, service: &str, request: &str) -> u32 {
         let key = (service.to_string(), request.to_string());
-        self.seen().by_request.get(&key).copied().unwrap_or(0)
+        self.counts().by_request.get(&key).copied().unwrap_or(0)
     }
 
-    /// All runs of all services for a request.
-    pub fn runs_for(&self, request: &str, services: &[&str]) -> u64 {
+    /// The number of runs of all given services for a request.
+    pub fn total_runs(&self, request: &str, services: &[&str]) -> u64 {
         let runs = services.iter().map(|s| self.runs_of(s, request));
         runs.map(u64::from).sum()
     }
 
-    /// The most runs of one service for one request.
-    pub fn most_runs(&self) -> u32 {
-        self.seen().by_request.values().copied().max().unwrap_or(0)
+    /// The maximum number of runs of one service for one request.
+    pub fn max_runs_per_request(&self) -> u32 {
+        self.counts().by_request.values().copied().max().unwrap_or(0)
     }
 
-    /// For these services, the most runs of one request and how many
-    /// requests ran more than once.
-    pub fn repeats(&self, services: &[&str]) -> (u32, u64) {
-        let seen = self.seen();
-        let mine = |(key, _): &(&(String, String), &u32)| {
+    /// For the given services: the maximum number of runs of one request, and
+    /// the number of requests that ran more than once.
+    pub fn duplicate_runs(&self, services: &[&str]) -> (u32, u64) {
+        let counts = self.counts();
+        let is_selected = |(key, _): &(&(String, String), &u32)| {
             services.contains(&key.0.as_str())
         };
-        let counts = seen.by_request.iter().filter(mine);
-        let counts: Vec<u32> = counts.map(|(_, count)| *count).collect();
-        let most = counts.iter().copied().max().unwrap_or(0);
-        let twice = counts.iter().filter(|c| **c > 1).count();
-        (most, twice as u64)
+        let runs = counts.by_request.iter().filter(is_selected);
+        let runs: Vec<u32> = runs.map(|(_, count)| *count).collect();
+        let max = runs.iter().copied().max().unwrap_or(0);
+        let duplicated = runs.iter().filter(|c| **c > 1).count();
+        (max, duplicated as u64)
     }
 
-    /// Attempts that were run although somebody was told that they were
-    /// not.
-    pub fn not_run_but_ran(&self) -> Vec<Attempt> {
-        let seen = self.seen();
-        let ran = |a: &&Attempt| seen.by_attempt.contains_key(*a);
-        seen.refused.iter().filter(ran).cloned().collect()
+    /// The attempts that ran although a refusal reported them as not run.
+    pub fn not_run_but_ran(&self) -> Vec<AttemptId> {
+        let counts = self.counts();
+        let ran = |a: &&AttemptId| counts.by_attempt.contains_key(*a);
+        counts.reported_not_run.iter().filter(ran).cloned().collect()
     }
 
-    /// The share of runs that was for nothing.
+    /// The share of runs whose request failed.
     pub fn wasted_share(&self) -> f64 {
-        let seen = self.seen();
-        seen.wasted as f64 / (seen.runs as f64).max(1.0)
+        let counts = self.counts();
+        counts.wasted as f64 / (counts.runs as f64).max(1.0)
     }
 
-    /// All runs so far.
+    /// The number of runs so far.
     pub fn runs(&self) -> u64 {
-        self.seen().runs
+        self.counts().runs
     }
 }
--- a/crates/walnutmoor-standin/src/platform.rs
+++ b/crates/walnutmoor-standin/src/platform.rs
@@ -1,6 +1,6 @@
 /*!
-A stand-in for the platform's object API, with its faults: down, slow, and
-answers that are lost after the write took effect.
+A simulation of the platform's object API with fault injection: unavailable,
+slow, and responses lost after a write took effect.
 */
 
 use std::{
@@ -22,21 +22,21 @@
 use walnutmoor::platform::Memory;
 use walnutmoor_core::platform::{Key, Object, Reply, Version};
 
-/// How the platform behaves.
+/// A fault of the platform.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Fault {
-    /// As it should.
+    /// Normal operation.
     #[default]
     None,
-    /// It answers nothing but errors, and ends open watches.
+    /// All requests fail with an error, and open watches end.
     Down,
-    /// It takes so many milliseconds for each answer.
+    /// Each response is delayed by this time, in milliseconds.
     Slow(u64),
-    /// Writes take effect, and their answers are lost.
-    LoseAnswers,
+    /// Writes take effect, but their responses are lost.
+    LoseResponses,
 }
 
-/// The stand-in.
+/// A simulated platform.
 #[derive(Debug)]
 pub struct Platform {
     memory: Memory,
@@ -47,14 +47,14 @@
 }
 
 impl Platform {
-    /// Starts one on a free port of the loopback.
+    /// Starts a platform on a free loopback port.
     ///
     /// # Panics
     ///
-    /// If no port can be opened.
+    /// If no port can be bound.
     pub async fn start() -> Arc<Platform> {
-        let any: SocketAddr = ([127, 0, 0, 1], 0).into();
-        let listener = TcpListener::bind(any).await.expect("a free port");
+        let loopback: SocketAddr = ([127, 0, 0, 1], 0).into();
+        let listener = TcpListener::bind(loopback).await.expect("a free port");
         let platform = Arc::new(Platform {
             memory: Memory::new(),
             fault: Mutex::default(),
@@ -66,13 +66,13 @@
         platform
     }
 
-    /// Where it listens, as settings write it.
+    /// The URL of the platform, as it appears in settings.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Changes how it behaves.
-    pub fn set(&self, fault: Fault) {
+    /// Sets the current fault.
+    pub fn set_fault(&self, fault: Fault) {
         *self.fault.lock().expect("no holder panics") = fault;
     }
 
@@ -80,17 +80,17 @@
         *self.fault.lock().expect("no holder panics")
     }
 
-    /// Calls so far, watches included.
+    /// The number of requests so far, including watches.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Writes that took effect.
+    /// The number of writes that took effect through the API.
     pub fn writes(&self) -> u64 {
         self.writes.load(Ordering::Relaxed)
     }
 
-    /// Reads an object as it is.
+    /// Reads an object, bypassing faults.
     pub fn read(&self, key: &Key) -> Option<Object> {
         match self.memory.get(key) {
             Reply::Found(object) => Some(object),
@@ -98,13 +98,13 @@
         }
     }
 
-    /// Writes an object, whatever it was.
+    /// Writes an object unconditionally, bypassing faults.
     pub fn write(&self, key: Key, value: String) {
         let base = self.read(&key).map(|object| object.version);
         self.memory.put(key, base, value);
     }
 
-    /// Puts an object back, as a restored store would.
+    /// Puts back an object with its version, as a store restore does.
     pub fn restore(&self, key: Key, object: Object) {
         self.memory.restore(key, object);
     }
@@ -115,7 +115,7 @@
         let platform = platform.clone();
         let service = service_fn(move |request| {
             let platform = platform.clone();
-            async move { answer(&platform, request).await }
+            async move { handle(&platform, request).await }
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
@@ -124,24 +124,27 @@
     }
 }
 
-/// The connection breaks off instead of an answer.
+/// Makes hyper close the connection without a response.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer is lost")]
-struct Lost;
+#[error("the response was lost")]
+struct ResponseLost;
 
-type Answer = Result<Response<Full<Bytes>>, Lost>;
+type HandlerResult = Result<Response<Full<Bytes>>, ResponseLost>;
 
-async fn answer(platform: &Platform, request: Request<Incoming>) -> Answer {
+async fn handle(
+    platform: &Platform,
+    request: Request<Incoming>,
+) -> HandlerResult {
     platform.calls.fetch_add(1, Ordering::Relaxed);
     match platform.fault() {
         Fault::Down => {
-            return Ok(status(StatusCode::SERVICE_UNAVAILABLE));
+            return Ok(status_response(StatusCode::SERVICE_UNAVAILABLE));
         }
         Fault::Slow(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
-        Fault::None | Fault::LoseAnswers => {}
+        Fault::None | Fault::LoseResponses => {}
     }
     let (parts, body) = request.into_parts();
-    let body = body.collect().await.map_err(|_| Lost)?.to_bytes();
+    let body = body.collect().await.map_err(|_| ResponseLost)?.to_bytes();
     let query = parts.uri.query().unwrap_or_default().to_string();
     let key = parts.uri.path().strip_prefix("/objects/");
     let key = key.map(|key| Key(key.to_string()));
@@ -150,37 +153,39 @@
         (Method::GET, Some(key)) if query.starts_with("known=") => {
             Ok(watch(platform, &key, &query).await)
         }
-        (Method::GET, Some(key)) => Ok(found(platform.memory.get(&key))),
+        (Method::GET, Some(key)) => {
+            Ok(object_response(platform.memory.get(&key)))
+        }
         (Method::GET, None) => {
             let prefix = query.strip_prefix("prefix=").unwrap_or("");
             Ok(list(platform, &Key(prefix.to_string())))
         }
-        _ => Ok(status(StatusCode::METHOD_NOT_ALLOWED)),
+        _ => Ok(status_response(StatusCode::METHOD_NOT_ALLOWED)),
     }
 }
 
-fn status(status: StatusCode) -> Response<Full<Bytes>> {
+fn status_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
-fn found(reply: Reply) -> Response<Full<Bytes>> {
+fn object_response(reply: Reply) -> Response<Full<Bytes>> {
     let Reply::Found(object) = reply else {
         let code = match reply {
             Reply::Unchanged => StatusCode::NOT_MODIFIED,
             _ => StatusCode::NOT_FOUND,
         };
-        return status(code);
+        return status_response(code);
     };
     let mut response = Response::new(Full::new(object.value.into()));
-    tag(&mut response, object.version);
+    set_etag(&mut response, object.version);
     response
 }
 
-fn tag(response: &mut Response<Full<Bytes>>, version: Version) {
+fn set_etag(response: &mut Response<Full<Bytes>>, version: Version) {
     let tag = format!("\"{}\"", version.0);
-    let tag = tag.parse().expect("digits are a legal header value");
+    let tag = tag.parse().expect("digits are a valid header value");
     response.headers_mut().insert(header::ETAG, tag);
 }
 
@@ -189,7 +194,7 @@
     key: Key,
     headers: &HeaderMap,
     body: Bytes,
-) -> Answer {
+) -> HandlerResult {
     let base = headers.get(header::IF_MATCH);
     let base = base.and_then(|tag| tag.to_str().ok());
     let base = base.and_then(|t| t.trim_matches('"').parse().ok());
@@ -197,35 +202,35 @@
     match platform.memory.put(key, base.map(Version), value) {
         Reply::Written(version) => {
             platform.writes.fetch_add(1, Ordering::Relaxed);
-            if platform.fault() == Fault::LoseAnswers {
-                return Err(Lost);
+            if platform.fault() == Fault::LoseResponses {
+                return Err(ResponseLost);
             }
             let mut response = Response::new(Full::default());
-            tag(&mut response, version);
+            set_etag(&mut response, version);
             Ok(response)
         }
-        _ => Ok(status(StatusCode::PRECONDITION_FAILED)),
+        _ => Ok(status_response(StatusCode::PRECONDITION_FAILED)),
     }
 }
 
 fn list(platform: &Platform, prefix: &Key) -> Response<Full<Bytes>> {
     let Reply::Listed(items) = platform.memory.list(prefix) else {
-        return status(StatusCode::NOT_FOUND);
+        return status_response(StatusCode::NOT_FOUND);
     };
-    let item = |(key, object): &(Key, Object)| {
+    let to_json = |(key, object): &(Key, Object)| {
         json!({
             "key": key,
             "version": object.version,
             "value": object.value,
         })
     };
-    let items: Vec<_> = items.iter().map(item).collect();
-    let text = serde_json::to_string(&items).expect("plain data");
+    let items: Vec<_> = items.iter().map(to_json).collect();
+    let text = serde_json::to_string(&items).expect("items serialize");
     Response::new(Full::new(text.into()))
 }
 
-/// How often a watch looks whether the platform went down under it.
-const LOOK: Duration = Duration::from_millis(100);
+/// The interval at which a watch checks whether the platform went down.
+const FAULT_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 async fn watch(
     platform: &Platform,
@@ -235,14 +240,14 @@
     let known = query.strip_prefix("known=").unwrap_or_default();
     let known = known.split('&').next().unwrap_or_default();
     let known = known.parse().ok().filter(|v| *v != 0).map(Version);
-    let wait = platform.memory.watch(key, known);
-    tokio::pin!(wait);
+    let change = platform.memory.watch(key, known);
+    tokio::pin!(change);
     loop {
         tokio::select! {
-            reply = &mut wait => return found(reply),
-            () = tokio::time::sleep(LOOK) => {
+            reply = &mut change => return object_response(reply),
+            () = tokio::time::sleep(FAULT_POLL_INTERVAL) => {
                 if platform.fault() == Fault::Down {
-                    return status(StatusCode::SERVICE_UNAVAILABLE);
+                    return status_response(StatusCode::SERVICE_UNAVAILABLE);
                 }
             }
         }
--- a/crates/walnutmoor-standin/src/report.rs
+++ b/crates/walnutmoor-standin/src/report.rs
@@ -1,5 +1,5 @@
 /*!
-The figures of one measuring run, printed as one JSON object.
+The figures of a measuring run, which are printed as one JSON object.
 */
 
 use std::time::Duration;
@@ -10,7 +10,8 @@
 
 use crate::load::Record;
 
-/// The figures. `None` where a scenario does not measure one.
+/// The figures of a measuring run. A figure is `None` if the scenario does not
+/// measure it.
 #[derive(Clone, Debug, Default, Serialize)]
 #[allow(missing_docs)]
 pub struct Report {
@@ -19,25 +20,28 @@
     pub mode: String,
     pub seed: u64,
     pub seconds: u64,
-    /// Whole requests a second that callers began under pressure.
+    /// Requests per second that callers started in the window.
     pub offered: f64,
-    /// Whole requests a second that the bottleneck can complete then.
+    /// Requests per second that the bottleneck can complete in the window.
     pub capacity: f64,
-    /// Whole requests a second that completed then.
+    /// Requests per second that completed in the window.
     pub goodput: f64,
     pub goodput_of_capacity: f64,
-    /// Shares of those offered under pressure.
+    /// The share of offered requests of kind `once` that completed.
     pub completed_once: Option<f64>,
+    /// The same for kind `browse`.
     pub completed_browse: Option<f64>,
+    /// The same for kind `internal`.
     pub completed_internal: Option<f64>,
-    /// From the end of the trigger until the completed share stays above
-    /// 95% of what it was before; `None` if it never does.
+    /// The time from the end of the window until the completed share stays
+    /// close to its value before the window, or `None` if it does not.
     pub recovery_ms: Option<u64>,
-    /// The share of runs whose whole request failed.
+    /// The share of runs whose request failed.
     pub wasted_share: f64,
-    /// The most runs of one service for one request.
+    /// The maximum number of runs of one service for one request.
     pub attempts_max: u32,
-    /// The most runs of one once request at its service.
+    /// The maximum number of runs of one request of kind `once` at its entry
+    /// service.
     pub runs_max: u32,
     pub ran_twice: u64,
     pub not_run_but_ran: u64,
@@ -48,32 +52,35 @@
     pub config_reverts: Option<u64>,
     pub added_p50_ms: Option<f64>,
     pub added_p99_ms: Option<f64>,
-    /// Of one core, for one node that serves no calls.
+    /// CPU use of an idle node, as a share of one core.
     pub control_cpu_share: Option<f64>,
     pub control_bytes_per_s: Option<f64>,
     pub rss_mb: Option<f64>,
     pub platform_calls_per_s: Option<f64>,
-    /// How often each kind of failure was the last of its request.
+    /// Failed requests, by the kind of their last refusal or error, or `late`
+    /// if there was none.
     pub failures: std::collections::BTreeMap<String, u64>,
-    /// Refusals and errors of all attempts under pressure, by kind of work.
+    /// Refusals and errors of all attempts of requests started in the window,
+    /// by request kind and refusal.
     pub refusals: std::collections::BTreeMap<String, u64>,
-    /// The same after the pressure.
+    /// The same for requests started after the window.
     pub refusals_after: std::collections::BTreeMap<String, u64>,
-    /// Kills, freezes and drains that were done.
+    /// The number of kills, freezes and drains.
     pub disturbances: Option<u64>,
 }
 
-/// The span of time under pressure.
+/// A time span, relative to the start of the load. In a report it is the time
+/// of the overload or the faults.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
-    /// Its beginning.
+    /// The start, inclusive.
     pub from: Duration,
-    /// Its end.
+    /// The end, exclusive.
     pub to: Duration,
 }
 
 impl Window {
-    fn holds(&self, at: Duration) -> bool {
+    fn contains(&self, at: Duration) -> bool {
         self.from <= at && at < self.to
     }
 
@@ -83,29 +90,30 @@
 }
 
 impl Report {
-    /// Fills in what the records tell.
-    pub fn count(&mut self, records: &[Record], window: Window) {
-        let began = records.iter().filter(|r| window.holds(r.at));
-        let offered: Vec<&Record> = began.collect();
+    /// Fills in the figures that follow from the records.
+    pub fn add_records(&mut self, records: &[Record], window: Window) {
+        let started = records.iter().filter(|r| window.contains(r.started));
+        let offered: Vec<&Record> = started.collect();
         let secs = window.secs();
         self.offered = offered.len() as f64 / secs;
-        let done = |r: &&Record| r.completed && window.holds(r.ended);
-        let good = records.iter().filter(done).count();
-        self.goodput = good as f64 / secs;
+        let completed = |r: &&Record| r.completed && window.contains(r.ended);
+        let completed = records.iter().filter(completed).count();
+        self.goodput = completed as f64 / secs;
         self.goodput_of_capacity =
             self.goodput / self.capacity.min(self.offered);
-        self.completed_once = share(&offered, Kind::Once);
-        self.completed_browse = share(&offered, Kind::Browse);
-        self.completed_internal = share(&offered, Kind::Internal);
-        self.wrong_answer = records.iter().filter(|r| r.wrong).count() as u64;
-        self.recovery_ms = recovery(records, window);
+        self.completed_once = completed_share(&offered, Kind::Once);
+        self.completed_browse = completed_share(&offered, Kind::Browse);
+        self.completed_internal = completed_share(&offered, Kind::Internal);
+        self.wrong_answer =
+            records.iter().filter(|r| r.wrong_response).count() as u64;
+        self.recovery_ms = recovery_ms(records, window);
         for record in records.iter().filter(|r| !r.completed) {
-            let kind = record.refusal.clone();
+            let kind = record.last_refusal.clone();
             let kind = kind.unwrap_or_else(|| "late".to_string());
             *self.failures.entry(kind).or_default() += 1;
         }
-        for record in records.iter().filter(|r| r.at >= window.from) {
-            let map = match window.holds(record.at) {
+        for record in records.iter().filter(|r| r.started >= window.from) {
+            let map = match window.contains(record.started) {
                 true => &mut self.refusals,
                 false => &mut self.refusals_after,
             };
@@ -114,60 +122,61 @@
                 *map.entry(name).or_default() += 1;
             }
         }
-        self.latencies(records);
+        self.add_latencies(records);
     }
 
-    fn latencies(&mut self, records: &[Record]) {
+    fn add_latencies(&mut self, records: &[Record]) {
         let mut histogram =
-            Histogram::<u64>::new(3).expect("a legal precision");
-        let added = records.iter().filter_map(|r| r.added_us);
+            Histogram::<u64>::new(3).expect("a valid precision");
+        let added = records.iter().filter_map(|r| r.added_latency_us);
         added.for_each(|us| histogram.saturating_record(us));
         if !histogram.is_empty() {
-            let at = |q| histogram.value_at_quantile(q) as f64 / 1000.0;
-            self.added_p50_ms = Some(at(0.5));
-            self.added_p99_ms = Some(at(0.99));
+            let quantile = |q| histogram.value_at_quantile(q) as f64 / 1000.0;
+            self.added_p50_ms = Some(quantile(0.5));
+            self.added_p99_ms = Some(quantile(0.99));
         }
     }
 }
 
-fn share(records: &[&Record], kind: Kind) -> Option<f64> {
+fn completed_share(records: &[&Record], kind: Kind) -> Option<f64> {
     let of_kind: Vec<_> = records.iter().filter(|r| r.kind == kind).collect();
     if of_kind.is_empty() {
         return None;
     }
-    let done = of_kind.iter().filter(|r| r.completed).count();
-    Some(done as f64 / of_kind.len() as f64)
+    let completed = of_kind.iter().filter(|r| r.completed).count();
+    Some(completed as f64 / of_kind.len() as f64)
 }
 
-/// The span of one look at the completed share: at the rates of the
-/// topologies a quarter of a second holds some 90 requests.
-const LOOK: Duration = Duration::from_millis(250);
+/// The length of the steps over which the completed share is computed.
+const RECOVERY_STEP: Duration = Duration::from_millis(250);
 
-/// The completed share must stay above this part of what it was.
-const RECOVERED: f64 = 0.95;
+/// The part of the normal completed share that counts as recovered.
+const RECOVERED_SHARE: f64 = 0.95;
 
-fn recovery(records: &[Record], window: Window) -> Option<u64> {
-    let before = |r: &&Record| r.at < window.from;
+/// The time from the end of the window until the completed share stays above
+/// the recovered share, in milliseconds.
+fn recovery_ms(records: &[Record], window: Window) -> Option<u64> {
+    let before = |r: &&Record| r.started < window.from;
     let before: Vec<&Record> = records.iter().filter(before).collect();
     if before.is_empty() {
         return None;
     }
-    let done = before.iter().filter(|r| r.completed).count();
-    let normal = done as f64 / before.len() as f64;
-    let end = records.iter().map(|r| r.at).max()?;
-    let mut last_bad = window.to;
+    let completed = before.iter().filter(|r| r.completed).count();
+    let normal = completed as f64 / before.len() as f64;
+    let end = records.iter().map(|r| r.started).max()?;
+    let mut degraded_until = window.to;
     let mut from = window.to;
-    while from + LOOK <= end {
-        let look = Window { from, to: from + LOOK };
-        let seen = records.iter().filter(|r| look.holds(r.at));
-        let seen: Vec<&Record> = seen.collect();
-        let done = seen.iter().filter(|r| r.completed).count();
-        let share = done as f64 / (seen.len() as f64).max(1.0);
-        if share < normal * RECOVERED {
-            last_bad = look.to;
+    while from + RECOVERY_STEP <= end {
+        let step = Window { from, to: from + RECOVERY_STEP };
+        let in_step = records.iter().filter(|r| step.contains(r.started));
+        let in_step: Vec<&Record> = in_step.collect();
+        let completed = in_step.iter().filter(|r| r.completed).count();
+        let share = completed as f64 / (in_step.len() as f64).max(1.0);
+        if share < normal * RECOVERED_SHARE {
+            degraded_until = step.to;
         }
-        from += LOOK;
+        from += RECOVERY_STEP;
     }
-    let recovered = last_bad + LOOK <= end;
-    recovered.then(|| (last_bad - window.to).as_millis() as u64)
+    let recovered = degraded_until + RECOVERY_STEP <= end;
+    recovered.then(|| (degraded_until - window.to).as_millis() as u64)
 }
--- a/crates/walnutmoor-standin/src/topology.rs
+++ b/crates/walnutmoor-standin/src/topology.rs
@@ -6,64 +6,64 @@
 use walnutmoor::{prelude::*, settings::Span};
 use walnutmoor_core::{class, id};
 
-/// A service and its instances.
+/// A service and its backend servers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Offered {
-    /// Its name.
+pub struct ServiceSpec {
+    /// The name of the service.
     pub name: Service,
-    /// How many backend servers offer it.
+    /// The number of backend servers that offer the service.
     pub instances: usize,
-    /// Calls that one of them runs at a time.
+    /// The maximum number of concurrent calls of one backend server.
     pub slots: u32,
-    /// Connections that one of them accepts.
+    /// The maximum number of connections of one backend server.
     pub connections: u32,
-    /// Its own time for one call, in milliseconds.
+    /// The processing time of one call without nested calls, in milliseconds.
     pub service_ms: u64,
-    /// The services that it calls, one after the other.
+    /// The services that each call invokes, sequentially.
     pub calls: Vec<Service>,
 }
 
-/// A class, with where it enters and its part of the demand.
+/// A class with its entry service and its part of the demand.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Work {
-    /// Its name.
+pub struct Workload {
+    /// The name of the class.
     pub name: id::Class,
-    /// Its kind.
+    /// The kind of the class.
     pub kind: class::Kind,
-    /// The share to complete.
+    /// The target share of requests to complete.
     pub share: class::Share,
-    /// Within how long.
+    /// The target time within which requests complete.
     pub within: Span,
-    /// The service that callers call.
+    /// The entry service, which callers call.
     pub entry: Service,
-    /// Its part of the demand, from 0 to 1.
+    /// The class's part of the demand, from 0 to 1.
     pub part: f64,
 }
 
-/// A topology.
+/// A service call graph with its classes and demand.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Topology {
-    /// Its name.
+    /// The name of the topology.
     pub name: String,
     /// The availability zones.
     pub zones: Vec<Zone>,
     /// The services.
-    pub services: Vec<Offered>,
+    pub services: Vec<ServiceSpec>,
     /// The classes.
-    pub classes: Vec<Work>,
-    /// The demand before any pressure, as a share of the capacity.
+    pub classes: Vec<Workload>,
+    /// The normal demand, as a share of the capacity.
     pub demand: f64,
 }
 
 impl Topology {
-    /// A topology of `testdata/topology`.
+    /// Reads a topology from `testdata/topology`.
     ///
     /// # Errors
     ///
-    /// If there is none of that name.
+    /// If there is no topology of that name.
     pub fn named(name: &str) -> Result<Topology, Failure> {
         let text = match name {
             "association" => {
@@ -71,48 +71,52 @@
             }
             "division" => include_str!("../testdata/topology/division.yaml"),
             other => {
-                let message = format!("no topology `{other}`");
+                let message = format!("unknown topology `{other}`");
                 return Err(Failure::usage(message));
             }
         };
         let failed = |error: serde_saphyr::Error| {
-            Failure::Internal(format!("{name}: {error}"))
+            Failure::Internal(format!("topology {name}: {error}"))
         };
         serde_saphyr::from_str(text).map_err(failed)
     }
 
-    /// The service that limits the whole: the least capacity for the calls
-    /// that the classes bring to it.
-    pub fn bottleneck(&self) -> &Offered {
-        let spare = |s: &&Offered| {
+    /// The service with the least capacity relative to its calls per request.
+    pub fn bottleneck(&self) -> &ServiceSpec {
+        let request_capacity = |s: &&ServiceSpec| {
             let demand = self.calls_per_request(&s.name).max(1e-9);
             capacity(s) / demand
         };
-        let by = |a: &&Offered, b: &&Offered| spare(a).total_cmp(&spare(b));
-        self.services.iter().min_by(by).expect("services are listed")
+        let order = |a: &&ServiceSpec, b: &&ServiceSpec| {
+            request_capacity(a).total_cmp(&request_capacity(b))
+        };
+        self.services.iter().min_by(order).expect("services are listed")
     }
 
-    /// Whole requests a second that the bottleneck can complete.
+    /// The number of requests per second that the bottleneck can complete.
     pub fn capacity(&self) -> f64 {
         let service = self.bottleneck();
         capacity(service) / self.calls_per_request(&service.name)
     }
 
-    /// How many calls of a service an average request makes.
+    /// The mean number of calls to a service per request.
     fn calls_per_request(&self, service: &Service) -> f64 {
-        let calls = |w: &Work| w.part * self.visits(&w.entry, service);
+        let calls = |w: &Workload| w.part * self.visits(&w.entry, service);
         self.classes.iter().map(calls).sum()
     }
 
+    /// The number of calls to `to` that one call to `from` causes, including
+    /// itself.
     fn visits(&self, from: &Service, to: &Service) -> f64 {
         let own = if from == to { 1.0 } else { 0.0 };
         let found = self.services.iter().find(|s| s.name == *from);
-        let below = found.map_or(&[][..], |s| &s.calls);
-        own + below.iter().map(|s| self.visits(s, to)).sum::<f64>()
+        let nested = found.map_or(&[][..], |s| &s.calls);
+        own + nested.iter().map(|s| self.visits(s, to)).sum::<f64>()
     }
 }
 
-fn capacity(service: &Offered) -> f64 {
-    let places = service.instances as f64 * f64::from(service.slots);
-    places * 1000.0 / service.service_ms as f64
+/// Calls per second that all backend servers of a service can run.
+fn capacity(service: &ServiceSpec) -> f64 {
+    let slots = service.instances as f64 * f64::from(service.slots);
+    slots * 1000.0 / service.service_ms as f64
 }
--- a/crates/walnutmoor-standin/tests/ports.rs
+++ b/crates/walnutmoor-standin/tests/ports.rs
@@ -30,7 +30,7 @@
             scope.spawn(start);
         }
         let taken = (0..DRAWS).filter(|_| {
-            let port = Ports::draw().node;
+            let port = Ports::allocate().node;
             TcpListener::bind(("127.0.0.1", port)).is_err()
         });
         let taken = taken.count();
--- a/crates/walnutmoor/tests/process/calls.rs
+++ b/crates/walnutmoor/tests/process/calls.rs
@@ -7,7 +7,7 @@
     net::TcpStream,
 };
 use walnutmoor::wire;
-use walnutmoor_standin::client::{Attempt, Came};
+use walnutmoor_standin::client::{Attempt, Outcome};
 
 use super::fixture::*;
 
@@ -55,7 +55,7 @@
 
         let mut whole = 0;
         for (request, came) in &came {
-            if came.is_good() {
+            if came.is_success() {
                 whole += 1;
                 assert!(text(came).starts_with(&format!("{request}:")));
             }
@@ -135,7 +135,7 @@
 fn a_truncated_request_leaves_nothing_behind() {
     run(async {
         let world = World::start(&[plan("top", "a")]).await;
-        let address = world.pairs[0].node.caller();
+        let address = world.pairs[0].node.caller_address();
 
         let mut stream = TcpStream::connect(address).await.unwrap();
         let head = "POST /v1/call/top/it HTTP/1.1\r\nhost: x\r\n\
@@ -155,7 +155,7 @@
 fn half_an_answer_is_an_error() {
     run(async {
         let world = World::start(&[plan("top", "a")]).await;
-        world.pairs[0].backend.break_answers(true);
+        world.pairs[0].backend.set_abort_responses(true);
 
         let ticket = world.ticket(0).await;
         let came = world.send(0, order("top", "cut", &ticket)).await;
@@ -163,7 +163,7 @@
         // It may have run, so it is never run again.
         let told = ("broken".to_string(), "unknown".to_string());
         assert_eq!(refusal(&came), told);
-        world.pairs[0].backend.break_answers(false);
+        world.pairs[0].backend.set_abort_responses(false);
         let again = world.send(0, order("top", "cut", &ticket)).await;
         assert_eq!(refusal(&again), told);
         assert_eq!(world.oracle.runs_of("top", "cut"), 1);
@@ -177,7 +177,7 @@
         let deep =
             Plan { time: Duration::from_secs(600), ..plan("deep", "b") };
         let world = World::start(&[top, deep]).await;
-        let address = world.pairs[0].node.caller();
+        let address = world.pairs[0].node.caller_address();
 
         let mut stream = TcpStream::connect(address).await.unwrap();
         let head = "GET /v1/call/top/it HTTP/1.1\r\nhost: x\r\n\
@@ -205,12 +205,12 @@
         let other =
             world.send(0, order("top", "one", &ticket).body("another")).await;
 
-        assert!(first.is_good(), "{first:?}");
+        assert!(first.is_success(), "{first:?}");
         assert_eq!(text(&first), text(&second));
         let told = ("ticket_reused".to_string(), "no".to_string());
         assert_eq!(refusal(&other), told);
         assert_eq!(world.oracle.runs_of("top", "one"), 1);
-        let node = world.pairs[1].node.caller();
+        let node = world.pairs[1].node.caller_address();
         let path = format!("/v1/tickets/{ticket}");
         let outcome = world.get_json(node, &path).await;
         assert_eq!(outcome["ran"], "yes");
@@ -223,7 +223,7 @@
         let world = World::start(&[plan("top", "a"), plan("late", "b")]).await;
 
         // It leaves by its own word: the node stays, the service goes.
-        let node = world.pairs[1].node.caller();
+        let node = world.pairs[1].node.caller_address();
         let leave = Attempt {
             method: http::Method::DELETE,
             ..Attempt::get("/v1/server")
@@ -231,7 +231,7 @@
         world.client.send(node, leave).await;
         until("the service is gone", || async {
             let came = world.send(0, browse("late", "x")).await;
-            matches!(came, Came::Refused(told) if told.ran == "no")
+            matches!(came, Outcome::Refused(told) if told.ran == "no")
         })
         .await;
 
@@ -242,7 +242,7 @@
         };
         until("the service is back", || async {
             world.client.send(node, announce.clone()).await;
-            world.send(0, browse("late", "y")).await.is_good()
+            world.send(0, browse("late", "y")).await.is_success()
         })
         .await;
     });
--- a/crates/walnutmoor/tests/process/changes.rs
+++ b/crates/walnutmoor/tests/process/changes.rs
@@ -3,7 +3,7 @@
 use http::Method;
 use walnutmoor_core::platform::Key;
 use walnutmoor_standin::{
-    client::{Attempt, Came},
+    client::{Attempt, Outcome},
     platform::Fault,
 };
 
@@ -24,8 +24,8 @@
     }
 }
 
-async fn operate(world: &World, index: usize, attempt: Attempt) -> Came {
-    let node = world.pairs[index].node.operator();
+async fn operate(world: &World, index: usize, attempt: Attempt) -> Outcome {
+    let node = world.pairs[index].node.operator_address();
     world.client.send(node, attempt).await
 }
 
@@ -45,9 +45,9 @@
 
         let came = operate(&world, 1, change(1_000)).await;
 
-        assert!(came.is_good(), "{came:?}");
+        assert!(came.is_success(), "{came:?}");
         everywhere(&world, 3).await;
-        let node = world.pairs[2].node.operator();
+        let node = world.pairs[2].node.operator_address();
         let audit = world.get_json(node, "/v1/audit").await;
         let entries = audit.as_array().unwrap();
         assert_eq!(entries.len(), 3);
@@ -68,9 +68,9 @@
         );
 
         let came = [a, b, c];
-        let won = came.iter().filter(|c| c.is_good()).count();
+        let won = came.iter().filter(|c| c.is_success()).count();
         assert_eq!(won, 1, "{came:?}");
-        for lost in came.iter().filter(|c| !c.is_good()) {
+        for lost in came.iter().filter(|c| !c.is_success()) {
             let told = ("conflict".to_string(), "no".to_string());
             assert_eq!(refusal(lost), told);
         }
@@ -82,12 +82,12 @@
 fn an_answer_lost_after_effect_is_settled_by_reading_back() {
     run(async {
         let world = three().await;
-        world.platform.set(Fault::LoseAnswers);
+        world.platform.set_fault(Fault::LoseResponses);
 
         let came = operate(&world, 0, change(1_000)).await;
 
         // The write took effect once, and the operator is told so.
-        assert!(came.is_good(), "{came:?}");
+        assert!(came.is_success(), "{came:?}");
         let stored = world.platform.read(&Key::config()).unwrap();
         assert!(stored.value.contains("\"changed\""));
         assert!(stored.value.starts_with("{\"revision\":3"));
@@ -99,16 +99,16 @@
 fn an_outage_refuses_changes_and_stops_no_call() {
     run(async {
         let world = three().await;
-        world.platform.set(Fault::Down);
+        world.platform.set_fault(Fault::Down);
 
         let came = operate(&world, 0, change(1_000)).await;
         let call = world.send(1, browse("top", "outage")).await;
-        world.platform.set(Fault::None);
+        world.platform.set_fault(Fault::None);
 
         assert_eq!(refusal(&came).0, "platform_down");
-        assert!(call.is_good(), "{call:?}");
+        assert!(call.is_success(), "{call:?}");
         until("changes are accepted again", || async {
-            operate(&world, 0, change(2_000)).await.is_good()
+            operate(&world, 0, change(2_000)).await.is_success()
         })
         .await;
     });
@@ -119,7 +119,7 @@
     run(async {
         let world = three().await;
         let old = world.platform.read(&Key::config()).unwrap();
-        assert!(operate(&world, 0, change(1_000)).await.is_good());
+        assert!(operate(&world, 0, change(1_000)).await.is_success());
         everywhere(&world, 3).await;
 
         world.platform.restore(Key::config(), old);
@@ -140,9 +140,9 @@
 fn a_fresh_node_in_an_outage_learns_from_peers_of_two_zones() {
     run(async {
         let mut world = three().await;
-        assert!(operate(&world, 0, change(1_000)).await.is_good());
+        assert!(operate(&world, 0, change(1_000)).await.is_success());
         everywhere(&world, 3).await;
-        world.platform.set(Fault::Down);
+        world.platform.set_fault(Fault::Down);
 
         world.pairs[2].node.restart();
 
--- a/crates/walnutmoor/tests/process/faults.rs
+++ b/crates/walnutmoor/tests/process/faults.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use walnutmoor_standin::client::Came;
+use walnutmoor_standin::client::Outcome;
 
 use super::fixture::*;
 
@@ -25,7 +25,7 @@
         .await;
         for n in 0..20 {
             let came = world.send(n % 2, browse("top", "gone")).await;
-            assert!(came.is_good(), "{came:?}");
+            assert!(came.is_success(), "{came:?}");
         }
 
         world.pairs[2].node.restart();
@@ -65,7 +65,7 @@
         let mut world =
             World::start(&[plan("gate", "a"), slow, plan("gate", "a")]).await;
         let ticket = world.ticket(0).await;
-        let owner = world.pairs[0].node.caller();
+        let owner = world.pairs[0].node.caller_address();
         let (client, attempt) =
             (world.client.clone(), order("top", "lost", &ticket));
         let first =
@@ -81,7 +81,7 @@
         .await;
         let asked = world.send(2, order("top", "lost", &ticket)).await;
 
-        assert!(matches!(came, Came::Nothing), "{came:?}");
+        assert!(matches!(came, Outcome::ConnectionFailed), "{came:?}");
         assert_eq!(refusal(&asked).1, "unknown");
         assert_eq!(world.oracle.runs_of("top", "lost"), 1);
     });
@@ -127,7 +127,7 @@
         let slow = Plan { time: Duration::from_secs(2), ..plan("top", "b") };
         let mut world = World::start(&[plan("gate", "a"), slow]).await;
         let backend = world.pairs[1].backend.clone();
-        let gate = world.pairs[0].node.caller();
+        let gate = world.pairs[0].node.caller_address();
         let flights = ["flight1", "flight2"].map(|request| {
             let attempt = browse("top", request);
             let client = world.client.clone();
@@ -138,10 +138,10 @@
         world.pairs[1].node.signal("TERM");
         until("the gate knows", || async {
             let came = world.send(0, browse("top", "probe")).await;
-            !came.is_good()
+            !came.is_success()
         })
         .await;
-        let last = backend.last_start();
+        let last = backend.last_call_start();
         let later = world.send(0, browse("top", "later")).await;
         until("the node has left", || {
             let ended = world.pairs[1].node.has_ended();
@@ -151,12 +151,12 @@
 
         for flight in flights {
             let came = flight.await.unwrap();
-            assert!(came.is_good(), "{came:?}");
+            assert!(came.is_success(), "{came:?}");
         }
         assert_eq!(world.pairs[1].node.exit_code(), Some(0));
         assert_eq!(refusal(&later).1, "no");
         assert_eq!(world.oracle.runs_of("top", "later"), 0);
-        assert_eq!(backend.last_start(), last);
+        assert_eq!(backend.last_call_start(), last);
     });
 }
 
@@ -164,7 +164,7 @@
 fn a_drain_needs_no_platform() {
     run(async {
         let mut world = three().await;
-        world.platform.set(walnutmoor_standin::platform::Fault::Down);
+        world.platform.set_fault(walnutmoor_standin::platform::Fault::Down);
 
         world.pairs[1].node.signal("TERM");
         until("the node has left", || {
@@ -178,6 +178,6 @@
         })
         .await;
         let came = world.send(0, browse("top", "still")).await;
-        assert!(came.is_good(), "{came:?}");
+        assert!(came.is_success(), "{came:?}");
     });
 }
--- a/crates/walnutmoor/tests/process/fixture.rs
+++ b/crates/walnutmoor/tests/process/fixture.rs
@@ -13,7 +13,7 @@
 use walnutmoor_standin::{
     backend::{self, Backend},
     child,
-    client::{ATTEMPT_ID, Attempt, Came, Client},
+    client::{ATTEMPT_ID, Attempt, Client, Outcome},
     oracle::Oracle,
     platform::Platform,
 };
@@ -86,13 +86,13 @@
     }
 
     async fn start_pair(&self, plan: &Plan) -> Pair {
-        let ports = child::Ports::draw();
+        let ports = child::Ports::allocate();
         let setup = backend::Setup {
             service: plan.service.parse().unwrap(),
             slots: 8,
-            time: plan.time,
+            service_time: plan.time,
             calls: plan.calls.iter().map(|s| s.parse().unwrap()).collect(),
-            retries: 2,
+            max_retries: 2,
             node: ([127, 0, 0, 1], ports.caller).into(),
         };
         let backend = Backend::start(setup, self.oracle.clone()).await;
@@ -128,13 +128,13 @@
 
     /// A node's status; null if it does not answer.
     pub async fn status(&self, index: usize) -> Value {
-        let node = self.pairs[index].node.operator();
+        let node = self.pairs[index].node.operator_address();
         self.get_json(node, "/v1/status").await
     }
 
     pub async fn get_json(&self, node: SocketAddr, path: &str) -> Value {
         match self.client.send(node, Attempt::get(path)).await {
-            Came::Answer { body, .. } => {
+            Outcome::Response { body, .. } => {
                 serde_json::from_slice(&body).unwrap_or_default()
             }
             _ => Value::Null,
@@ -147,15 +147,15 @@
     }
 
     /// Sends an attempt to a node's listener for calls.
-    pub async fn send(&self, index: usize, attempt: Attempt) -> Came {
-        let node = self.pairs[index].node.caller();
+    pub async fn send(&self, index: usize, attempt: Attempt) -> Outcome {
+        let node = self.pairs[index].node.caller_address();
         self.client.send(node, attempt).await
     }
 
     /// Fetches a ticket from a node.
     pub async fn ticket(&self, index: usize) -> String {
         let came = self.send(index, Attempt::post("/v1/tickets")).await;
-        let Came::Answer { body, .. } = came else {
+        let Outcome::Response { body, .. } = came else {
             panic!("no ticket: {came:?}")
         };
         let value: Value = serde_json::from_slice(&body).unwrap();
@@ -187,18 +187,18 @@
         .header(ATTEMPT_ID, request)
 }
 
-pub fn text(came: &Came) -> String {
+pub fn text(came: &Outcome) -> String {
     match came {
-        Came::Answer { body, .. } => {
+        Outcome::Response { body, .. } => {
             String::from_utf8_lossy(body).into_owned()
         }
         other => format!("{other:?}"),
     }
 }
 
-pub fn refusal(came: &Came) -> (String, String) {
+pub fn refusal(came: &Outcome) -> (String, String) {
     match came {
-        Came::Refused(told) => (told.kind.clone(), told.ran.clone()),
+        Outcome::Refused(told) => (told.kind.clone(), told.ran.clone()),
         other => panic!("not refused: {other:?}"),
     }
 }
