--- /dev/null
+++ b/crates/walnutmoor/src/mesh/lifetime.rs
@@ -0,0 +1,171 @@
+/*!
+Applies changes of the tracked instance lifetime to the serving side.
+
+`walnutmoor_core::lifetime` tracks the lifetime; this module opens and closes
+the bulkhead, drops connections and notifies other nodes. A lifetime that has
+announced its departure never takes work again, even if this node restarts:
+other nodes remember the departure, and send it to the node's next incarnation
+before any call.
+*/
+
+use std::rc::Rc;
+
+use walnutmoor_core::{
+    lifetime::{Change, Lifetime, Report},
+    time::Millis,
+};
+
+use super::{journal::Event, serve::Serve, state::State};
+
+/// The pause between connection attempts to an instance that refuses them.
+const RESUME_INTERVAL: Millis = Millis(250);
+
+impl Serve {
+    /// Handles a heartbeat of the instance.
+    pub fn report(&self, state: &Rc<State>, report: &Report) {
+        let before = self.tracker.borrow().current().cloned();
+        let change = self.tracker.borrow_mut().report(report);
+        if let Some(before) = before.filter(|before| before.ready)
+            && change == Change::Lifetime
+        {
+            self.record_crash(state, &before.lifetime, "another lifetime");
+        }
+        self.apply(state, change, "heartbeat");
+    }
+
+    /// Handles the announcement that an instance is leaving.
+    pub fn leave(&self, state: &Rc<State>, lifetime: &Lifetime) {
+        let change = self.tracker.borrow_mut().leave(lifetime);
+        self.apply(state, change, "goodbye");
+    }
+
+    /// Records departed lifetimes that a former incarnation of this node
+    /// reported to its peers.
+    pub fn record_departed(
+        &self,
+        state: &Rc<State>,
+        lifetimes: Vec<Lifetime>,
+    ) {
+        let change = self.tracker.borrow_mut().record_departed(lifetimes);
+        self.apply(state, change, "a former life of this node");
+    }
+
+    /// The current lifetime of the instance, if it has departed.
+    pub fn departed(&self) -> Option<Lifetime> {
+        self.tracker.borrow().departed().cloned()
+    }
+
+    /// Handles the response to a health check.
+    pub fn record_health_check(
+        &self,
+        state: &Rc<State>,
+        instance: &str,
+        slots: u32,
+        ready: bool,
+    ) {
+        let change = self
+            .tracker
+            .borrow_mut()
+            .record_health_check(instance, slots, ready);
+        self.apply(state, change, "health check");
+    }
+
+    /// Handles a response from another instance at the same address.
+    pub(super) fn handle_replacement(&self, state: &Rc<State>) {
+        let before = self.tracker.borrow().current().cloned();
+        let change = self.tracker.borrow_mut().forget();
+        if let Some(before) = before.filter(|before| before.ready) {
+            self.record_crash(state, &before.lifetime, "another instance");
+        }
+        self.apply(state, change, "another instance answered");
+    }
+
+    /// Stops taking new work, so that calls in flight finish before the node
+    /// exits.
+    pub fn drain(&self, state: &Rc<State>) {
+        self.draining.set(true);
+        self.bulkhead.borrow_mut().close();
+        state.broadcast_load();
+        self.advance(state);
+    }
+
+    fn apply(&self, state: &Rc<State>, change: Change, source: &str) {
+        if !change.has_changed() {
+            return;
+        }
+        if change == Change::Lifetime {
+            self.pool.clear();
+        }
+        self.update_bulkhead();
+        if let Some(lifetime) = self.departed() {
+            state.broadcast_departure(&lifetime);
+        }
+        self.log_instance(state, source);
+        state.broadcast_load();
+        self.advance(state);
+    }
+
+    /// Opens the bulkhead if the instance is ready, and closes it otherwise.
+    fn update_bulkhead(&self) {
+        let tracker = self.tracker.borrow();
+        let mut bulkhead = self.bulkhead.borrow_mut();
+        match tracker.current() {
+            Some(current) if current.ready && !self.draining.get() => {
+                bulkhead.open(current.slots);
+            }
+            _ => bulkhead.close(),
+        }
+    }
+
+    fn log_instance(&self, state: &State, source: &str) {
+        let current = self.tracker.borrow().current().cloned();
+        let current = current.unwrap_or_default();
+        let started_at = current.lifetime.started_at.map(|time| time.0);
+        let fields = [
+            ("instance", current.lifetime.id.into()),
+            ("born", started_at.into()),
+            ("ready", current.ready.into()),
+            ("slots", current.slots.into()),
+            ("sequence", current.sequence.into()),
+            ("source", source.into()),
+        ];
+        state.journal.log_event(state.now(), Event::Instance, &fields);
+    }
+
+    /// The id of the current instance; empty if it is not known.
+    pub(super) fn instance_id(&self) -> String {
+        let tracker = self.tracker.borrow();
+        let id = tracker.current().map(|current| current.lifetime.id.clone());
+        id.unwrap_or_default()
+    }
+
+    /// Stops taking work until the instance accepts connections again.
+    pub(super) fn suspend(&self, state: &Rc<State>) {
+        self.bulkhead.borrow_mut().close();
+        if !self.suspended.replace(true) {
+            let fields = [("why", "no connection".into())];
+            state.journal.log_event(state.now(), Event::Lost, &fields);
+            tokio::task::spawn_local(resume(state.clone()));
+        }
+        state.broadcast_load();
+        self.advance(state);
+    }
+}
+
+/// Resumes a suspended instance once its address accepts connections.
+/// Resuming without this check would send it requests that fail at once.
+async fn resume(state: Rc<State>) {
+    let pause = std::time::Duration::from_millis(RESUME_INTERVAL.0);
+    let serve = &state.serve;
+    loop {
+        tokio::time::sleep(pause).await;
+        if !serve.pool.refuses_connections().await {
+            break;
+        }
+    }
+    serve.suspended.set(false);
+    if serve.tracker.borrow().is_ready() && !serve.draining.get() {
+        serve.update_bulkhead();
+        state.broadcast_load();
+    }
+}
--- /dev/null
+++ b/crates/walnutmoor/src/worker/listen.rs
@@ -0,0 +1,235 @@
+/*!
+The common parts of the HTTP listeners: reading a bounded body, submitting a
+call to the driver and waiting for its completion.
+*/
+
+use std::{
+    net::SocketAddr,
+    sync::{
+        Arc,
+        atomic::{AtomicU64, Ordering},
+    },
+};
+
+use bytes::Bytes;
+use dropshot::{
+    ApiDescription, Body, ConfigDropshot, HandlerTaskMode, HttpServer,
+    ServerBuilder, ServerContext,
+};
+use http::{HeaderMap, Response};
+use http_body_util::{BodyExt, LengthLimitError, Limited};
+use schemars::JsonSchema;
+use serde::Deserialize;
+use tokio::sync::oneshot;
+use walnutmoor_core::{error::Kind, node::Event};
+
+use super::driver::{Completion, Input, InputSender, Payload};
+use crate::{
+    prelude::*,
+    wire::{self, Answer, Head},
+};
+
+/// The state shared by the handlers.
+#[derive(Debug)]
+pub struct Context {
+    /// The driver's channel.
+    pub inputs: InputSender,
+    /// The next call id; shared by all listeners.
+    pub call_counter: Arc<AtomicU64>,
+    /// Issues and verifies the tokens that identify a parent call.
+    pub tokens: Arc<Tokens>,
+    /// The maximum size of a request body.
+    pub max_body_bytes: usize,
+    /// The number of retries of one whole request.
+    pub retries: u8,
+}
+
+impl Context {
+    /// Returns a new call id.
+    pub fn next_call(&self) -> CallId {
+        CallId(self.call_counter.fetch_add(1, Ordering::Relaxed))
+    }
+}
+
+/// Tokens that identify a call to the backend server that runs it.
+///
+/// Nested calls name their parent by its token and skip admission control.
+/// Each token therefore contains a keyed hash of the call id, so that callers
+/// cannot forge one.
+#[derive(Debug, Default)]
+pub struct Tokens {
+    key: std::hash::RandomState,
+}
+
+impl Tokens {
+    /// Returns the token of a call.
+    pub fn issue(&self, call: CallId) -> String {
+        format!("{:x}.{:x}", call.0, self.mac(call))
+    }
+
+    /// Returns the call of a token, or `None` if the token is invalid.
+    pub fn verify(&self, token: &str) -> Option<CallId> {
+        let (call, mac) = token.split_once('.')?;
+        let call = CallId(u64::from_str_radix(call, 16).ok()?);
+        let mac = u64::from_str_radix(mac, 16).ok()?;
+        (mac == self.mac(call)).then_some(call)
+    }
+
+    fn mac(&self, call: CallId) -> u64 {
+        use std::hash::BuildHasher;
+        self.key.hash_one(call.0)
+    }
+}
+
+/// The wildcard parameter of a path. dropshot requires handlers to declare it;
+/// they read the raw path instead, which is not percent-decoded.
+#[derive(Deserialize, JsonSchema)]
+pub struct Wildcard {
+    #[serde(rename = "path")]
+    _path: Vec<String>,
+}
+
+/// The name parameter of a path, which is likewise unused.
+#[derive(Deserialize, JsonSchema)]
+pub struct Name {
+    #[serde(rename = "name")]
+    _name: String,
+}
+
+/// Starts a listener.
+///
+/// # Errors
+///
+/// If the address cannot be bound.
+pub fn start<C: ServerContext>(
+    api: ApiDescription<C>,
+    context: C,
+    address: SocketAddr,
+    max_body_bytes: usize,
+) -> Result<HttpServer<C>, Failure> {
+    let config = ConfigDropshot {
+        bind_address: address,
+        default_request_body_max_bytes: max_body_bytes,
+        default_handler_task_mode: HandlerTaskMode::CancelOnDisconnect,
+        ..ConfigDropshot::default()
+    };
+    // dropshot logs each request. Requests are counted in metrics instead,
+    // so its log is discarded.
+    let log = slog::Logger::root(slog::Discard, slog::o!());
+    let server = ServerBuilder::new(api, context, log).config(config);
+    server.start().map_err(|cause| Failure::Listen {
+        address: address.to_string(),
+        cause: root_cause(&cause),
+    })
+}
+
+fn root_cause(error: &dyn std::error::Error) -> String {
+    let mut error = error;
+    while let Some(source) = error.source() {
+        error = source;
+    }
+    error.to_string()
+}
+
+/// Why a body could not be read.
+pub enum BodyError {
+    /// It is longer than the limit.
+    TooLarge,
+    /// The connection ended early, or the encoding is malformed.
+    Incomplete,
+}
+
+/// Reads a complete body of at most `max_bytes` bytes.
+///
+/// # Errors
+///
+/// If it is too long or incomplete.
+pub async fn read_body(
+    body: Body,
+    max_bytes: usize,
+) -> Result<Bytes, BodyError> {
+    match Limited::new(body, max_bytes).collect().await {
+        Ok(collected) => Ok(collected.to_bytes()),
+        Err(error) if error.is::<LengthLimitError>() => {
+            Err(BodyError::TooLarge)
+        }
+        Err(_) => Err(BodyError::Incomplete),
+    }
+}
+
+/// Splits the path after `prefix` into the service and the rest, which
+/// includes the query.
+pub fn split_path(uri: &http::Uri, prefix: &str) -> (String, String) {
+    let path = uri.path().strip_prefix(prefix).unwrap_or_default();
+    let (service, rest) = match path.split_once('/') {
+        Some((service, rest)) => (service, format!("/{rest}")),
+        None => (path, "/".to_string()),
+    };
+    let query = uri.query().map(|q| format!("?{q}")).unwrap_or_default();
+    (service.to_string(), rest + &query)
+}
+
+/// Creates the payload of a request, without headers that are not forwarded.
+pub fn payload(
+    method: http::Method,
+    path: String,
+    headers: &HeaderMap,
+    body: Bytes,
+) -> Payload {
+    let headers = wire::forwardable_headers(headers);
+    Payload { head: Head { method, path, headers }, body }
+}
+
+/// Submits a call to the driver and waits for its completion. If the future is
+/// dropped because the client disconnected, the call is canceled.
+pub async fn submit(
+    context: &Context,
+    call: CallId,
+    input: impl FnOnce(oneshot::Sender<Completion>) -> Input,
+) -> Completion {
+    let (sender, receiver) = oneshot::channel();
+    if context.inputs.try_send(input(sender)).is_err() {
+        return channel_full();
+    }
+    let mut guard = CancelGuard { inputs: &context.inputs, call: Some(call) };
+    let completion = receiver.await.unwrap_or_else(|_| channel_closed());
+    guard.call = None;
+    completion
+}
+
+fn channel_full() -> Completion {
+    let refusal = Refusal::new(Kind::Full, Ran::No);
+    let refusal = refusal.retry_after(Millis(1_000));
+    Completion { result: Err(refusal), trailer: None }
+}
+
+/// The completion if the driver ended first, which happens when the process
+/// stops.
+fn channel_closed() -> Completion {
+    let refusal = Refusal::new(Kind::Broken, Ran::Unknown);
+    Completion { result: Err(refusal), trailer: None }
+}
+
+/// Cancels a call when dropped, unless `call` has been cleared.
+struct CancelGuard<'a> {
+    inputs: &'a InputSender,
+    call: Option<CallId>,
+}
+
+impl Drop for CancelGuard<'_> {
+    fn drop(&mut self) {
+        if let Some(call) = self.call {
+            let event = Box::new(Event::Cancel { call });
+            // If the channel is full, the deadline ends the call.
+            let _ = self.inputs.try_send(Input::Event(event));
+        }
+    }
+}
+
+/// Converts an answer to an HTTP response.
+pub fn response(answer: Answer) -> Response<Body> {
+    let mut response = Response::new(Body::from(answer.body));
+    *response.status_mut() = answer.status;
+    *response.headers_mut() = answer.headers;
+    response
+}
--- a/crates/walnutmoor/tests/mesh/faults.rs
+++ b/crates/walnutmoor/tests/mesh/faults.rs
@@ -1,43 +1,43 @@
-//! Instances that misbehave, and nodes that are killed or stand still.
+//! Misbehaving instances, and nodes that are killed or stopped.
 
 use std::time::Duration;
 
-use walnutmoor_standin::mesh::instance::Mood;
+use walnutmoor_standin::mesh::instance::Behavior;
 
-use crate::fixture::{World, is_promise, run, until};
+use crate::fixture::{World, guarantees_not_run, run, until};
 
-/// Sends orders to the first node while something goes wrong; each must have
-/// run once at most, and not at all if its answer promises so.
-async fn order(world: &World, name: &str, count: u32) {
+/// Sends requests that may run only once to the first node during a fault.
+/// Each must run at most once, and not at all if its response says so.
+async fn send_orders(world: &World, name: &str, count: u32) {
     for n in 0..count {
         let id = format!("{name}-{n}");
         let answer = world.send(0, "order", &id).await;
         let runs = world.runs(&id);
         assert!(runs <= 1, "{id} ran {runs} times");
-        if answer.as_ref().is_some_and(is_promise) {
-            assert_eq!(runs, 0, "{id} was said not to have run");
+        if answer.as_ref().is_some_and(guarantees_not_run) {
+            assert_eq!(runs, 0, "{id} ran, but its response says not");
         }
         if answer.is_some_and(|answer| answer.status == 200) {
-            assert_eq!(runs, 1, "{id} was served without a run");
+            assert_eq!(runs, 1, "{id} got status 200 without a run");
         }
     }
 }
 
 #[test]
-fn orders_run_once_whatever_becomes_of_their_answers() {
+fn orders_run_at_most_once_whatever_happens_to_their_answers() {
     let moods = [
-        Mood::LosesAnswers,
-        Mood::CutsAnswers,
-        Mood::AnswersTwice,
-        Mood::Forges,
-        Mood::Fails,
-        Mood::Sheds,
+        Behavior::DropsResponses,
+        Behavior::TruncatesResponses,
+        Behavior::RespondsTwice,
+        Behavior::OmitsSignature,
+        Behavior::Fails,
+        Behavior::Sheds,
     ];
     run(async {
         let world = World::start(&["front", "desk", "desk"]).await;
         for mood in moods {
-            world.pairs[1].instance.set_mood(mood);
-            order(&world, &format!("{mood:?}"), 10).await;
+            world.pairs[1].instance.set_behavior(mood);
+            send_orders(&world, &format!("{mood:?}"), 10).await;
         }
     });
 }
@@ -46,7 +46,7 @@
 fn every_answer_belongs_to_its_request_though_an_instance_answers_twice() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
-        world.pairs[1].instance.set_mood(Mood::AnswersTwice);
+        world.pairs[1].instance.set_behavior(Behavior::RespondsTwice);
 
         for n in 0..60 {
             let id = format!("twice-{n}");
@@ -59,11 +59,11 @@
 }
 
 #[test]
-fn an_answer_cut_short_or_without_signature_never_looks_whole() {
+fn a_truncated_or_unsigned_answer_becomes_an_error() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
-        for mood in [Mood::CutsAnswers, Mood::Forges] {
-            world.pairs[1].instance.set_mood(mood);
+        for mood in [Behavior::TruncatesResponses, Behavior::OmitsSignature] {
+            world.pairs[1].instance.set_behavior(mood);
             for n in 0..5 {
                 let id = format!("{mood:?}-{n}");
                 let answer = world.send(0, "browse", &id).await.unwrap();
@@ -74,17 +74,17 @@
 }
 
 #[test]
-fn browsing_goes_to_the_sibling_of_an_instance_that_loses_answers() {
+fn idempotent_requests_go_to_the_sibling_of_an_instance_that_loses_answers() {
     run(async {
         let world = World::start(&["front", "desk", "desk"]).await;
         for n in 0..60 {
-            world.served(0, "browse", &format!("warm-{n}")).await;
+            world.send_until_ok(0, "browse", &format!("warm-{n}")).await;
         }
-        world.pairs[1].instance.set_mood(Mood::LosesAnswers);
+        world.pairs[1].instance.set_behavior(Behavior::DropsResponses);
 
-        world.served(0, "browse", "again").await;
+        world.send_until_ok(0, "browse", "again").await;
 
-        order(&world, "sibling", 20).await;
+        send_orders(&world, "sibling", 20).await;
     });
 }
 
@@ -92,14 +92,14 @@
 fn a_killed_node_is_found_again_and_runs_nothing_twice() {
     run(async {
         let mut world = World::start(&["front", "desk"]).await;
-        order(&world, "before", 3).await;
+        send_orders(&world, "before", 3).await;
 
         world.pairs[1].node.kill();
-        order(&world, "down", 3).await;
+        send_orders(&world, "down", 3).await;
         world.pairs[1].node.restart();
 
-        world.served(0, "order", "after").await;
-        order(&world, "up", 3).await;
+        world.send_until_ok(0, "order", "after").await;
+        send_orders(&world, "up", 3).await;
     });
 }
 
@@ -109,11 +109,11 @@
         let world = World::start(&["front", "desk", "desk"]).await;
         world.pairs[1].node.signal("STOP");
 
-        world.served(0, "browse", "frozen").await;
-        order(&world, "ice", 5).await;
+        world.send_until_ok(0, "browse", "frozen").await;
+        send_orders(&world, "ice", 5).await;
         world.pairs[1].node.signal("CONT");
 
-        order(&world, "melt", 5).await;
+        send_orders(&world, "melt", 5).await;
         let desk = &world.pairs[1].instance;
         let mut n = 0;
         until("the thawed node gets work", || {
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn nothing_new_is_sent_to_a_node_that_does_not_answer() {
+fn no_request_is_sent_to_an_unresponsive_node() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
 
@@ -141,15 +141,15 @@
         .await;
         let answer = world.send(0, "order", "silent").await.unwrap();
 
-        assert!(is_promise(&answer), "{}", answer.status);
+        assert!(guarantees_not_run(&answer), "{}", answer.status);
         world.pairs[1].node.signal("CONT");
-        world.served(0, "order", "again").await;
+        world.send_until_ok(0, "order", "again").await;
         assert_eq!(world.runs("silent"), 0);
     });
 }
 
 #[test]
-fn a_node_restarted_while_the_store_is_away_learns_from_its_peers() {
+fn a_node_restarted_while_the_store_is_down_learns_from_its_peers() {
     run(async {
         let mut world = World::start(&["front", "desk"]).await;
         world.store.set_down(true);
@@ -157,7 +157,7 @@
         world.pairs[0].node.restart();
 
         until("it is ready", || world.is_ready(0)).await;
-        world.served(0, "order", "away").await;
+        world.send_until_ok(0, "order", "away").await;
     });
 }
 
@@ -173,7 +173,7 @@
             pair.node.restart();
         }
 
-        world.served(0, "order", "back").await;
+        world.send_until_ok(0, "order", "back").await;
     });
 }
 
@@ -182,12 +182,12 @@
     run(async {
         let world = World::start(&["front", "desk"]).await;
         for n in 0..5 {
-            world.served(0, "order", &format!("warm-{n}")).await;
+            world.send_until_ok(0, "order", &format!("warm-{n}")).await;
         }
-        world.pairs[1].instance.set_mood(Mood::Forgets);
+        world.pairs[1].instance.set_behavior(Behavior::ResetsIdle);
 
         for n in 0..4 {
-            // Longer than the instance remembers.
+            // Longer than the instance keeps an idle connection.
             tokio::time::sleep(Duration::from_millis(700)).await;
             let id = format!("idle-{n}");
             let answer = world.send(0, "order", &id).await.unwrap();
