--- a/crates/walnutmoor-core/src/node/completion.rs
+++ b/crates/walnutmoor-core/src/node/completion.rs
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Spends a retry of the request's budget and of the service pair's share.
+    /// Spends a retry from the request's budget and from the retry limiter.
     fn try_spend_retry(&mut self, call: CallId) -> bool {
         let Some(outbound) = self.outbound.get_mut(&call) else {
             return false;
@@ -121,8 +121,8 @@
         }
         let (from, to) =
             (outbound.envelope.from.clone(), &outbound.envelope.service);
-        let share = self.share.try_retry(from.as_ref(), to);
-        share && outbound.budget.spend()
+        let is_allowed = self.retry_limiter.try_retry(from.as_ref(), to);
+        is_allowed && outbound.budget.spend()
     }
 
     /// Applies the levels, path and unspent retries of a trailer.
--- a/crates/walnutmoor-core/src/node/outbound.rs
+++ b/crates/walnutmoor-core/src/node/outbound.rs
@@ -235,7 +235,7 @@
         if parent_call.failed.contains(&arrival.fingerprint) {
             let to = &arrival.service;
             let fits = parent_call.budget.spend()
-                && self.share.try_retry(from.as_ref(), to);
+                && self.retry_limiter.try_retry(from.as_ref(), to);
             if !fits && enforce {
                 return Err(Refusal::new(Kind::Budget, Ran::No));
             }
@@ -380,7 +380,7 @@
         let envelope = outbound.envelope.clone();
         if first {
             let from = envelope.from.as_ref();
-            self.share.record_first_attempt(from, &envelope.service);
+            self.retry_limiter.record_first_attempt(from, &envelope.service);
         }
         self.router.sent(to);
         self.stats.forwarded += 1;
--- a/crates/walnutmoor-core/src/retry.rs
+++ b/crates/walnutmoor-core/src/retry.rs
@@ -7,7 +7,7 @@
 do not multiply across layers. Repeated attempts of a caller count too: the
 n-th attempt starts with n - 1 retries fewer.
 
-The [`Throttle`] holds a token bucket for the calls from one service to
+The [`Limiter`] holds a token bucket for the calls from one service to
 another. Each first attempt adds a tenth of a token and each retry takes a
 whole one, so that retries are at most 10% of the traffic, similar to the retry
 throttling of gRPC.
@@ -87,14 +87,14 @@
 
 /// Limits retries to a share of the first attempts, for each pair of services.
 #[derive(Debug, Default)]
-pub struct Throttle {
+pub struct Limiter {
     tokens: Map<(Option<Service>, Service), f64>,
 }
 
-impl Throttle {
-    /// Creates a throttle without any pairs.
-    pub fn new() -> Throttle {
-        Throttle::default()
+impl Limiter {
+    /// Creates a limiter without any pairs.
+    pub fn new() -> Limiter {
+        Limiter::default()
     }
 
     /// Counts a first attempt from one service to another; `from` is `None`
--- a/crates/walnutmoor-core/src/throttle.rs
+++ b/crates/walnutmoor-core/src/throttle.rs
@@ -145,10 +145,10 @@
     /// Returns true if a request that must not run twice is likely to
     /// complete, either without retries or within the retry budget left for
     /// it.
-    pub fn can_complete(&self, route: &str, asker: Priority) -> bool {
+    pub fn can_complete(&self, route: &str, priority: Priority) -> bool {
         let state = self.routes.get(route);
         state.is_none_or(|state| {
-            state.profile.can_complete(&self.services, asker)
+            state.profile.can_complete(&self.services, priority)
         })
     }
 
--- a/crates/walnutmoor-core/src/throttle/completion.rs
+++ b/crates/walnutmoor-core/src/throttle/completion.rs
@@ -8,9 +8,9 @@
 once it may have started. If it is rejected at the ingress instead, it has not
 run and may be sent again.
 
-Instances spend their retry budget on whole requests, ordered by lot, and
-report with each answer how much is left. Admission uses the same lot, so the
-requests that it admits are those that instances will retry.
+Instances spend their retry budget on whole requests, ordered by sample key,
+and report with each answer how much is left. Admission uses the same key, so
+the requests that it admits are those that instances will retry.
 */
 
 use crate::{
@@ -20,7 +20,7 @@
 };
 
 /// Probability of completing without a retry from which a request is admitted
-/// whatever its lot.
+/// regardless of its sample key.
 const LIKELY_COMPLETION: f64 = 0.5;
 
 /// Fraction of the remaining retry budget that admission uses. It leaves a
@@ -73,13 +73,13 @@
     pub(super) fn can_complete(
         &self,
         services: &Services,
-        asker: Priority,
+        priority: Priority,
     ) -> bool {
         let spent = self.budget_spent(services);
         let left = (1.0 - spent) * USABLE_BUDGET_FRACTION;
         spent == 0.0
-            || asker.required_burst() <= left
-            || asker.is_within(MIN_ADMITTED)
+            || priority.required_burst() <= left
+            || priority.is_within(MIN_ADMITTED)
     }
 
     /// Returns the largest spent fraction of the retry budget among the
--- a/crates/walnutmoor-core/tests/shedding.rs
+++ b/crates/walnutmoor-core/tests/shedding.rs
@@ -28,19 +28,19 @@
 }
 
 #[test]
-fn retries_by_lot_serve_claims_that_fail_otherwise() {
+fn retries_by_sample_key_serve_claims_that_fail_otherwise() {
     let (first_come, _) = run(RetryPolicy::FirstCome);
-    let (by_lot, _) = run(RetryPolicy::ByLot);
+    let (by_sample_key, _) = run(RetryPolicy::BySampleKey);
 
     let before = first_come[&Class::Claim];
-    let after = by_lot[&Class::Claim];
+    let after = by_sample_key[&Class::Claim];
     assert!(before.served() < 0.05, "{before:?}");
     assert!(after.served() > 0.25, "{after:?}");
 }
 
 #[test]
 fn retries_stay_within_the_budget() {
-    for retry_policy in [RetryPolicy::FirstCome, RetryPolicy::ByLot] {
+    for retry_policy in [RetryPolicy::FirstCome, RetryPolicy::BySampleKey] {
         let (_, retry_ratio) = run(retry_policy);
         assert!(
             retry_ratio < MAX_RETRY_RATIO,
--- a/crates/walnutmoor-core/tests/simulation/mod.rs
+++ b/crates/walnutmoor-core/tests/simulation/mod.rs
@@ -82,9 +82,9 @@
 pub enum RetryPolicy {
     /// On the first requests that need a retry.
     FirstCome,
-    /// On whole requests, ordered by lot.
+    /// On whole requests, ordered by sample key.
     #[default]
-    ByLot,
+    BySampleKey,
 }
 
 /// Parameters of a simulation.
@@ -185,8 +185,8 @@
     ingress: usize,
     arrived: Millis,
     calls_left: u32,
-    course: RetryState,
-    lot: SampleKey,
+    retry_state: RetryState,
+    sample_key: SampleKey,
 }
 
 impl Request {
@@ -220,7 +220,7 @@
     requests: Requests,
     ingresses: Vec<(Balancer, Throttle)>,
     parts: Vec<Bulkhead>,
-    repeats: Vec<RetryBudget>,
+    retry_budgets: Vec<RetryBudget>,
     /// First attempts at `parts`, and retries.
     arrivals: (u32, u32),
     rng: ChaCha8Rng,
@@ -276,7 +276,7 @@
             requests: Map::default(),
             ingresses,
             parts,
-            repeats: (0..count).map(|_| retry_budget()).collect(),
+            retry_budgets: (0..count).map(|_| retry_budget()).collect(),
             arrivals: (0, 0),
             rng: ChaCha8Rng::seed_from_u64(seed),
             tallies: Map::default(),
@@ -301,8 +301,8 @@
             self.now = time;
             self.handle(event);
         }
-        let (firsts, repeats) = self.arrivals;
-        (self.tallies, f64::from(repeats) / f64::from(firsts.max(1)))
+        let (firsts, retries) = self.arrivals;
+        (self.tallies, f64::from(retries) / f64::from(firsts.max(1)))
     }
 
     fn push(&mut self, after: Millis, event: Event) {
@@ -358,13 +358,13 @@
         }
         self.serial += 1;
         let id = self.serial;
-        let lot = SampleKey::of(&id.to_string());
+        let sample_key = SampleKey::of(&id.to_string());
         let throttle = &self.ingresses[ingress].1;
         let is_admitted = throttle.admits(class.name(), false, draw);
-        let asker = Priority { rank: class.priority(), sample_key: lot };
+        let priority = Priority { rank: class.priority(), sample_key };
         let cannot_complete = self.scenario.check_completion
             && class == Class::Claim
-            && !throttle.can_complete(class.name(), asker);
+            && !throttle.can_complete(class.name(), priority);
         if cannot_complete || self.scenario.throttled && !is_admitted {
             if let Some(tally) = self.tally(arrived, class) {
                 tally.refused += 1;
@@ -372,9 +372,15 @@
             return;
         }
         let calls_left = class.calls().max(1);
-        let course = RetryState::new(MAX_ATTEMPTS, true);
-        let request =
-            Request { class, ingress, arrived, calls_left, course, lot };
+        let retry_state = RetryState::new(MAX_ATTEMPTS, true);
+        let request = Request {
+            class,
+            ingress,
+            arrived,
+            calls_left,
+            retry_state,
+            sample_key,
+        };
         self.requests.insert(id, request);
         match class {
             Class::Search => self.call(id),
@@ -399,14 +405,14 @@
             idempotent: true,
         };
         let balance = &mut self.ingresses[request.ingress].0;
-        let scope = request.course.scope();
+        let scope = request.retry_state.scope();
         let Choice::Send(to) = balance.choose_within(self.now, pick, &scope)
         else {
             return self.end(id, false);
         };
         balance.sent(to);
         let instance = usize::from(to.0.port()) - 1;
-        match request.course.backoff(to) {
+        match request.retry_state.backoff(to) {
             Millis(0) => self.send(id, instance),
             pause => self.push(pause, Event::Resend(id, instance)),
         }
@@ -417,8 +423,8 @@
             return;
         };
         let rank = request.rank(self.scenario.inherit_priority);
-        let moved = !request.course.tried().is_empty();
-        let again = request.course.arrivals() > 0;
+        let moved = !request.retry_state.tried().is_empty();
+        let again = request.retry_state.arrivals() > 0;
         let work = Work {
             id: CallId(id),
             priority: rank,
@@ -426,16 +432,18 @@
             deadline: self.now + Millis(700),
             moved,
         };
-        let asker = match self.scenario.retry_policy {
+        let priority = match self.scenario.retry_policy {
             RetryPolicy::FirstCome => Priority::default(),
-            RetryPolicy::ByLot => Priority { rank, sample_key: request.lot },
+            RetryPolicy::BySampleKey => {
+                Priority { rank, sample_key: request.sample_key }
+            }
         };
-        let repeats = &mut self.repeats[instance];
-        if again && !repeats.try_retry_for(self.now, asker) {
+        let retry_budget = &mut self.retry_budgets[instance];
+        if again && !retry_budget.try_retry_for(self.now, priority) {
             return self.call_rejected(id, instance, Outcome::BudgetExhausted);
         }
         if !moved {
-            repeats.record_request(self.now);
+            retry_budget.record_request(self.now);
         }
         match again {
             true => self.arrivals.1 += 1,
@@ -465,7 +473,7 @@
     }
 
     fn parts_shed(&mut self, id: u64, instance: usize) {
-        self.repeats[instance].record_arrival(true);
+        self.retry_budgets[instance].record_arrival(true);
         self.parts[instance].finish(self.now, CallId(id), false);
         self.start_waiting(instance);
         self.call_rejected(id, instance, Outcome::InstanceRejected);
@@ -479,7 +487,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        match request.course.record(node(instance), word) {
+        match request.retry_state.record(node(instance), word) {
             Decision::Retry => self.call(id),
             Decision::Stop => self.end(id, false),
         }
@@ -487,7 +495,7 @@
 
     /// Reports to the ingress, with an answer, what an instance sheds.
     fn report_state(&mut self, id: u64, instance: usize) {
-        let state = self.repeats[instance].state(self.now);
+        let state = self.retry_budgets[instance].state(self.now);
         let mut footprint = Footprint::default();
         footprint.add_with_state(
             Key::of(&service()),
@@ -510,7 +518,7 @@
     }
 
     fn parts_done(&mut self, id: u64, instance: usize) {
-        self.repeats[instance].record_arrival(false);
+        self.retry_budgets[instance].record_arrival(false);
         self.parts[instance].finish(self.now, CallId(id), true);
         self.start_waiting(instance);
         self.report_load(id, instance, Some(false));
@@ -519,7 +527,7 @@
             return;
         };
         request.calls_left -= 1;
-        request.course = RetryState::new(MAX_ATTEMPTS, true);
+        request.retry_state = RetryState::new(MAX_ATTEMPTS, true);
         match request.calls_left {
             0 => self.end(id, true),
             _ => self.call(id),
--- a/crates/walnutmoor-core/tests/throttle.rs
+++ b/crates/walnutmoor-core/tests/throttle.rs
@@ -300,11 +300,13 @@
 
 /// Counts how many of a thousand claims are likely to complete.
 fn count_completable(throttle: &Throttle) -> usize {
-    let asker = |n: u32| Priority {
+    let priority = |n: u32| Priority {
         rank: 0,
         sample_key: SampleKey::of(&format!("request-{n}")),
     };
-    (0..1_000).filter(|n| throttle.can_complete("claims", asker(*n))).count()
+    (0..1_000)
+        .filter(|n| throttle.can_complete("claims", priority(*n)))
+        .count()
 }
 
 #[test]
