--- a/crates/walnutmoor-core/src/admit.rs
+++ b/crates/walnutmoor-core/src/admit.rs
@@ -51,7 +51,7 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use self::view::{PATH_MAX, PathLevel, Report, View};
+pub use self::view::{MAX_PATH_SERVICES, PathLevel, Report, View};
 use crate::{
     class::{Key, RANKS, STEPS_PER_RANK},
     time::Millis,
@@ -173,10 +173,10 @@
 
 /// The number of steps by which an entirely idle server raises the level each
 /// window: one class.
-const IDLE_RAISE_STEPS_MAX: f64 = STEPS_PER_RANK as f64;
+const MAX_IDLE_RAISE_STEPS: f64 = STEPS_PER_RANK as f64;
 
 /// Demand below this rate, in calls a second, counts as zero.
-const DEMAND_RATE_MIN: f64 = 0.5;
+const MIN_DEMAND_RATE: f64 = 0.5;
 
 /// Measurements of one window, as input to [`Controller::tick`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -389,7 +389,7 @@
             let known = self.demand[rank];
             let demand =
                 known.unwrap_or(sample.capacity * UNSEEN_DEMAND_FACTOR);
-            let worth = demand.max(DEMAND_RATE_MIN) * steps_left
+            let worth = demand.max(MIN_DEMAND_RATE) * steps_left
                 / STEPS_PER_RANK as f64;
             let moved = steps_left * (left / worth).min(1.0);
             self.level += if up { moved } else { -moved };
@@ -420,13 +420,13 @@
     /// rises. Opens the level fully if no refused rank has demand.
     fn clamp_level(&mut self) {
         let has_demand =
-            |d: &Option<f64>| d.is_some_and(|d| d >= DEMAND_RATE_MIN);
+            |d: &Option<f64>| d.is_some_and(|d| d >= MIN_DEMAND_RATE);
         let first = self.demand.iter().position(has_demand).unwrap_or(0);
         let least = (first * STEPS_PER_RANK + 1) as f64;
         self.level = self.level.clamp(least, OPEN_LEVEL);
         let next_rank = self.level as usize / STEPS_PER_RANK;
         let has_none =
-            |d: &Option<f64>| d.is_some_and(|d| d < DEMAND_RATE_MIN);
+            |d: &Option<f64>| d.is_some_and(|d| d < MIN_DEMAND_RATE);
         if self.demand[next_rank.min(RANKS - 1)..].iter().all(has_none) {
             self.level = OPEN_LEVEL;
         }
@@ -480,7 +480,7 @@
     let weight = weight * trust;
     let next = old + (fresh - old) * weight;
     // Negligible demand decays to zero.
-    Some(if next < DEMAND_RATE_MIN {
+    Some(if next < MIN_DEMAND_RATE {
         next * CLOSED_DEMAND_DECAY
     } else {
         next
@@ -491,5 +491,5 @@
 /// estimate.
 fn idle_raise(utilization: f64) -> f64 {
     let idle = (1.0 - utilization / IDLE_UTILIZATION).max(0.0);
-    IDLE_RAISE_STEPS_MAX * idle * idle
+    MAX_IDLE_RAISE_STEPS * idle * idle
 }
--- a/crates/walnutmoor-core/src/admit/view.rs
+++ b/crates/walnutmoor-core/src/admit/view.rs
@@ -37,19 +37,19 @@
 const REOPEN_STEPS_PER_SEC: u64 = STEPS_PER_RANK as u64;
 
 /// The maximum number of reports forwarded for one service.
-const FORWARDED_REPORTS_MAX: usize = 3;
+const MAX_FORWARDED_REPORTS: usize = 3;
 
 /// The maximum number of origins kept for a service. The most recent are kept.
-const ORIGINS_MAX: usize = 8;
+const MAX_ORIGINS: usize = 8;
 
 /// The maximum number of services kept.
-const SERVICES_MAX: usize = 2_048;
+const MAX_SERVICES: usize = 2_048;
 
 /// The maximum number of services kept on one path.
-pub const PATH_MAX: usize = 32;
+pub const MAX_PATH_SERVICES: usize = 32;
 
 /// The maximum number of paths kept.
-const PATHS_MAX: usize = 4_096;
+const MAX_PATHS: usize = 4_096;
 
 /// The time after which a service that was not called is removed from a path.
 const PATH_ENTRY_TTL: Millis = Millis(10_000);
@@ -89,7 +89,7 @@
     pub fn record_report(&mut self, now: Millis, report: &Report) {
         let Some(level) = report.level else { return };
         let known = self.levels.len();
-        if known >= SERVICES_MAX && !self.levels.contains_key(&report.service)
+        if known >= MAX_SERVICES && !self.levels.contains_key(&report.service)
         {
             return;
         }
@@ -101,7 +101,7 @@
             if old.at <= at {
                 *old = reported;
             }
-        } else if list.len() < ORIGINS_MAX {
+        } else if list.len() < MAX_ORIGINS {
             list.push(reported);
         } else if let Some(old) = list.iter_mut().min_by_key(|h| h.at) {
             *old = reported;
@@ -137,7 +137,7 @@
         passed: &Service,
     ) {
         let path = (class.clone(), entry.clone());
-        if !self.paths.contains_key(&path) && self.paths.len() >= PATHS_MAX {
+        if !self.paths.contains_key(&path) && self.paths.len() >= MAX_PATHS {
             return;
         }
         let list = self.paths.entry(path).or_default();
@@ -146,7 +146,7 @@
             return;
         }
         list.retain(|(_, at)| now.since(*at) < PATH_ENTRY_TTL);
-        if list.len() < PATH_MAX {
+        if list.len() < MAX_PATH_SERVICES {
             list.push((passed.clone(), now));
         }
     }
@@ -176,7 +176,7 @@
         let fresh = list.iter().filter(|h| now.since(h.at) < STALE_AFTER);
         let mut fresh: Vec<&ReportedLevel> = fresh.collect();
         fresh.sort_by_key(|h| std::cmp::Reverse(h.at));
-        fresh.truncate(FORWARDED_REPORTS_MAX);
+        fresh.truncate(MAX_FORWARDED_REPORTS);
         let report = |reported: &&ReportedLevel| Report {
             origin: reported.origin,
             service: service.clone(),
--- a/crates/walnutmoor-core/src/call.rs
+++ b/crates/walnutmoor-core/src/call.rs
@@ -119,7 +119,7 @@
 }
 
 /// The maximum nesting depth.
-pub const DEPTH_MAX: u8 = 32;
+pub const MAX_DEPTH: u8 = 32;
 
 /// The metadata returned with a response.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
--- a/crates/walnutmoor-core/src/config.rs
+++ b/crates/walnutmoor-core/src/config.rs
@@ -39,12 +39,12 @@
     digest::Map,
     error::{Kind, Ran, Refusal},
     id::{self, Change, Revision},
-    platform::{Key, Object, Reply, Request, VALUE_MAX, Version},
+    platform::{Key, MAX_VALUE_BYTES, Object, Reply, Request, Version},
     time::Millis,
 };
 
 /// The most journal entries kept in the configuration object.
-pub const JOURNAL_MAX: usize = 64;
+pub const MAX_JOURNAL_ENTRIES: usize = 64;
 
 /// The number of journal entries in one page of the audit trail.
 pub const PAGE_ENTRIES: usize = 32;
@@ -143,8 +143,8 @@
     }
 
     fn trim(&mut self) {
-        if self.journal.len() > JOURNAL_MAX {
-            let excess = self.journal.len() - JOURNAL_MAX;
+        if self.journal.len() > MAX_JOURNAL_ENTRIES {
+            let excess = self.journal.len() - MAX_JOURNAL_ENTRIES;
             self.journal.drain(..excess);
         }
     }
@@ -152,7 +152,7 @@
     /// The oldest full page of the journal, if it is due to be moved to the
     /// audit trail.
     fn due_page(&self) -> Option<&[Entry]> {
-        if self.journal.len() <= JOURNAL_MAX - PAGE_ENTRIES {
+        if self.journal.len() <= MAX_JOURNAL_ENTRIES - PAGE_ENTRIES {
             return None;
         }
         let is_aligned =
@@ -465,7 +465,7 @@
         let Some(config) = &mut self.candidate else { return };
         config.trim();
         let value = config.to_json();
-        if value.len() > VALUE_MAX {
+        if value.len() > MAX_VALUE_BYTES {
             self.refuse(Kind::TooLarge, Ran::No, out);
             return;
         }
--- a/crates/walnutmoor-core/src/gate.rs
+++ b/crates/walnutmoor-core/src/gate.rs
@@ -124,7 +124,7 @@
 const FASTEST_WINDOW: Millis = Millis(500);
 
 /// The minimum queue capacity.
-const QUEUE_CAPACITY_MIN: usize = 4;
+const MIN_QUEUE_CAPACITY: usize = 4;
 
 /// Limits, queues and refuses calls to one backend server.
 #[derive(Debug)]
@@ -352,7 +352,7 @@
 }
 
 fn queue_capacity(max_concurrency: u32) -> usize {
-    (max_concurrency as usize).max(QUEUE_CAPACITY_MIN)
+    (max_concurrency as usize).max(MIN_QUEUE_CAPACITY)
 }
 
 /// Tracks average slot use and minimum queue length over a window.
--- a/crates/walnutmoor-core/src/gossip.rs
+++ b/crates/walnutmoor-core/src/gossip.rs
@@ -44,7 +44,7 @@
     config::{Config, Entry},
     directory::{BUCKETS, Record, bucket},
     id::{Incarnation, NodeId, Revision, Service},
-    member::{self, Members, PACKET_UPDATES_MAX},
+    member::{self, MAX_PACKET_UPDATES, Members},
     once::Outcome,
     ticket::{Party, Ticket},
     time::Millis,
@@ -164,10 +164,10 @@
 const JOIN_REPAIR_INTERVAL: Millis = Millis(500);
 
 /// The most records in one answer; bounds the bandwidth of a joining node.
-const RECORDS_MAX: usize = 240;
+const MAX_RECORDS: usize = 240;
 
 /// The most records in the answer to a look-up.
-const LOOKUP_RECORDS_MAX: usize = 16;
+const MAX_LOOKUP_RECORDS: usize = 16;
 
 /// Membership with anti-entropy.
 #[derive(Debug)]
@@ -214,7 +214,7 @@
     pub fn build_packet(&mut self, revision: Revision, body: Body) -> Packet {
         let me = self.members.me();
         let (from, incarnation) = (me.node, me.incarnation);
-        let mut updates = self.members.take_updates(PACKET_UPDATES_MAX);
+        let mut updates = self.members.take_updates(MAX_PACKET_UPDATES);
         if let Body::Digests(_) = body {
             // The receiver may not know this node yet.
             updates.push(self.members.me().clone());
@@ -321,7 +321,7 @@
         for record in directory.iter().filter(is_wanted) {
             counts[bucket(record.node)] += 1;
         }
-        let mut capacity = RECORDS_MAX;
+        let mut capacity = MAX_RECORDS;
         let mut complete = Vec::new();
         for index in buckets {
             let count = counts[*index];
@@ -379,7 +379,7 @@
         let Some(servers) = directory.servers(service) else { return };
         let nodes = servers.local.iter().chain(&servers.remote);
         let records = nodes.filter_map(|n| directory.get(*n));
-        let records = records.take(LOOKUP_RECORDS_MAX).cloned().collect();
+        let records = records.take(MAX_LOOKUP_RECORDS).cloned().collect();
         out.push((from, Body::Records { records, complete: Vec::new() }));
     }
 
--- a/crates/walnutmoor-core/src/limit.rs
+++ b/crates/walnutmoor-core/src/limit.rs
@@ -32,7 +32,7 @@
 use crate::time::Millis;
 
 /// The minimum length of a measurement window.
-const WINDOW_MIN: Millis = Millis(500);
+const MIN_WINDOW: Millis = Millis(500);
 
 /// The minimum length of a window, as a multiple of the service time.
 const WINDOW_SERVICE_TIMES: f64 = 4.0;
@@ -50,11 +50,11 @@
 const CONGESTION_RATIO: f64 = 1.5;
 
 /// The share of the throughput that must remain for the probed limit to stay.
-const THROUGHPUT_RATIO_MIN: f64 = 0.97;
+const MIN_THROUGHPUT_RATIO: f64 = 0.97;
 
 /// The maximum interval between two probes, and how long the limit is not
 /// raised after a successful probe.
-const PROBE_INTERVAL_MAX: Millis = Millis(8_000);
+const MAX_PROBE_INTERVAL: Millis = Millis(8_000);
 
 /// The weight of a new sample in the moving average of the service time.
 const SERVICE_TIME_WEIGHT: f64 = 0.1;
@@ -126,7 +126,7 @@
 
     /// Records that the server refused a call as overloaded.
     pub fn record_overload(&mut self, now: Millis) {
-        if self.last_cut.is_some_and(|at| now < at + WINDOW_MIN) {
+        if self.last_cut.is_some_and(|at| now < at + MIN_WINDOW) {
             return;
         }
         self.last_cut = Some(now);
@@ -161,7 +161,7 @@
     /// Returns the window length. It covers several service times, so that
     /// calls completing in batches do not distort the throughput.
     fn window_length(&self) -> Millis {
-        WINDOW_MIN
+        MIN_WINDOW
             .max(Millis((self.service_time * WINDOW_SERVICE_TIMES) as u64))
     }
 
@@ -187,7 +187,7 @@
         match self.phase {
             Phase::Probe { limit, rate: baseline } => self.end_probe(
                 now,
-                rate >= baseline * THROUGHPUT_RATIO_MIN,
+                rate >= baseline * MIN_THROUGHPUT_RATIO,
                 limit,
             ),
             Phase::Steady if now < self.cooldown_until => {}
@@ -211,11 +211,11 @@
         self.phase = Phase::Steady;
         if rate_held && self.is_saturated() {
             self.probe_interval = COOLDOWN;
-            self.cooldown_until = now + PROBE_INTERVAL_MAX;
+            self.cooldown_until = now + MAX_PROBE_INTERVAL;
         } else {
             self.limit = limit;
             self.probe_interval =
-                Millis(self.probe_interval.0 * 2).min(PROBE_INTERVAL_MAX);
+                Millis(self.probe_interval.0 * 2).min(MAX_PROBE_INTERVAL);
         }
         self.next_probe = now + self.probe_interval;
     }
--- a/crates/walnutmoor-core/src/member.rs
+++ b/crates/walnutmoor-core/src/member.rs
@@ -100,7 +100,7 @@
 const RETRANSMIT_FACTOR: u32 = 2;
 
 /// The most updates in one packet, so that it fits in a datagram.
-pub const PACKET_UPDATES_MAX: usize = 16;
+pub const MAX_PACKET_UPDATES: usize = 16;
 
 #[derive(Debug)]
 struct Probe {
--- a/crates/walnutmoor-core/src/node/completion.rs
+++ b/crates/walnutmoor-core/src/node/completion.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Action, Core,
-    outbound::{ATTEMPTS_MAX, DEADLINE_MARGIN, Outbound, Phase},
+    outbound::{DEADLINE_MARGIN, MAX_ATTEMPTS, Outbound, Phase},
 };
 use crate::{
     call::{Reply, Role, Trailer, is_error},
@@ -98,7 +98,7 @@
         let free_retry =
             !std::mem::replace(&mut outbound.free_retry_used, true);
         let expiring = outbound.deadline.since(now) <= DEADLINE_MARGIN;
-        if expiring || outbound.tried.len() >= ATTEMPTS_MAX {
+        if expiring || outbound.tried.len() >= MAX_ATTEMPTS {
             self.fail_outbound(now, call, refusal, out);
         } else if free_retry {
             self.stats.moved += 1;
@@ -116,7 +116,7 @@
         let Some(outbound) = self.outbound.get_mut(&call) else {
             return false;
         };
-        if outbound.tried.len() >= ATTEMPTS_MAX {
+        if outbound.tried.len() >= MAX_ATTEMPTS {
             return false;
         }
         let (from, to) =
--- a/crates/walnutmoor-core/src/node/control.rs
+++ b/crates/walnutmoor-core/src/node/control.rs
@@ -53,10 +53,10 @@
 const PUSH_FANOUT: usize = 4;
 
 /// The first backoff after a platform failure; it doubles with each failure.
-const BACKOFF_MIN: Millis = Millis(250);
+const MIN_BACKOFF: Millis = Millis(250);
 
 /// The longest backoff after platform failures.
-const BACKOFF_MAX: Millis = Millis(4_000);
+const MAX_BACKOFF: Millis = Millis(4_000);
 
 /// The mean interval of contact checks by the maintainers of a zone.
 const CONTACTS_CHECK_INTERVAL: Millis = Millis(10_000);
@@ -80,7 +80,7 @@
             watched_version: None,
             watching: false,
             resume_at: Millis(0),
-            backoff: BACKOFF_MIN,
+            backoff: MIN_BACKOFF,
             platform_up: true,
             contacts: Vec::new(),
             last_join: None,
@@ -291,10 +291,10 @@
     /// Updates the backoff and logs a change of the platform's reachability.
     fn note_platform(&mut self, now: Millis, up: bool, out: &mut Vec<Action>) {
         if up {
-            self.control.backoff = BACKOFF_MIN;
+            self.control.backoff = MIN_BACKOFF;
         } else {
             let pause = self.control.backoff;
-            let longer = Millis(pause.0 * 2).min(BACKOFF_MAX);
+            let longer = Millis(pause.0 * 2).min(MAX_BACKOFF);
             self.control.backoff = longer;
             self.control.resume_at = now + self.jitter(pause);
         }
--- a/crates/walnutmoor-core/src/node/inbound.rs
+++ b/crates/walnutmoor-core/src/node/inbound.rs
@@ -3,7 +3,7 @@
 
 use super::{Action, Core, Note, outbound::FailedCalls};
 use crate::{
-    admit::{Level, PATH_MAX, Report},
+    admit::{Level, MAX_PATH_SERVICES, Report},
     call::{Envelope, Reply, Role, Trailer, is_overload},
     directory::{Offer as Advert, Status},
     error::{Kind, Ran, Refusal},
@@ -67,7 +67,7 @@
             self.children_time += now.since(self.children_since);
         }
         if let Some(fingerprint) = failed
-            && self.failed.len() < FAILED_CALLS_MAX
+            && self.failed.len() < MAX_FAILED_CALLS
         {
             self.failed.insert(fingerprint);
         }
@@ -75,7 +75,7 @@
 
     /// Records a service that this call depends on.
     pub(super) fn record_downstream(&mut self, service: &Service) {
-        let room = self.downstream.len() < PATH_MAX;
+        let room = self.downstream.len() < MAX_PATH_SERVICES;
         if room && !self.downstream.contains(service) {
             self.downstream.push(service.clone());
         }
@@ -90,10 +90,10 @@
 
 /// The maximum number of failed child calls remembered per call; repeats of
 /// others are not recognized as retries.
-const FAILED_CALLS_MAX: usize = 64;
+const MAX_FAILED_CALLS: usize = 64;
 
 /// The maximum number of reports in a trailer, which bounds its size.
-const REPORTS_MAX: usize = 2 * PATH_MAX;
+const MAX_REPORTS: usize = 2 * MAX_PATH_SERVICES;
 
 impl Core {
     /// Handles a call that a peer forwarded.
@@ -242,7 +242,7 @@
             }
             reports.extend(known);
         }
-        reports.truncate(REPORTS_MAX);
+        reports.truncate(MAX_REPORTS);
         let warmth = self.server.warmup_progress(now);
         let load = gate.map(|gate| Load {
             busy: (gate.in_flight() + gate.queued()) as u32,
--- a/crates/walnutmoor-core/src/node/issue.rs
+++ b/crates/walnutmoor-core/src/node/issue.rs
@@ -4,7 +4,7 @@
 use crate::{
     error::{self, Kind, Refusal},
     gossip::Body,
-    ticket::{Party, STAMP_AGE_MAX, Ticket},
+    ticket::{MAX_STAMP_AGE, Party, Ticket},
     time::Millis,
 };
 
@@ -33,7 +33,7 @@
 const STAMP_TIMEOUT: Millis = Millis(300);
 
 /// The maximum number of queries that wait for a timestamp.
-const WAITING_ISSUES_MAX: usize = 1_024;
+const MAX_WAITING_ISSUES: usize = 1_024;
 
 impl Core {
     /// Issues a ticket that names this node as owner and a node of another
@@ -59,7 +59,7 @@
         }
         match stamp {
             Some(stamp) => self.issue_with(now, query, stamp, out),
-            None if self.stamps.waiting.len() >= WAITING_ISSUES_MAX => {
+            None if self.stamps.waiting.len() >= MAX_WAITING_ISSUES => {
                 let full = Refusal::new(Kind::Full, error::Ran::No);
                 let full = full.retry_after(Millis(500));
                 self.issued(query, Err(full), out);
@@ -107,7 +107,7 @@
     /// The latest unexpired timestamp of a live witness.
     fn usable_stamp(&self, now: Millis) -> Option<Stamp> {
         let known = self.stamps.known.iter();
-        let fresh = known.filter(|s| now.since(s.at) <= STAMP_AGE_MAX);
+        let fresh = known.filter(|s| now.since(s.at) <= MAX_STAMP_AGE);
         let alive = fresh.filter(|s| self.is_alive(s.party));
         alive.max_by_key(|s| s.at).copied()
     }
--- a/crates/walnutmoor-core/src/node/mod.rs
+++ b/crates/walnutmoor-core/src/node/mod.rs
@@ -260,7 +260,7 @@
             table: config::Table::default(),
             in_force: false,
             confirmed_zones: BTreeSet::new(),
-            proposer: Proposer::new(PROPOSALS_MAX),
+            proposer: Proposer::new(MAX_PROPOSALS),
             control: control::Control::new(),
             config,
         }
@@ -377,4 +377,4 @@
 }
 
 /// The maximum number of pending configuration proposals.
-const PROPOSALS_MAX: usize = 1_024;
+const MAX_PROPOSALS: usize = 1_024;
--- a/crates/walnutmoor-core/src/node/outbound.rs
+++ b/crates/walnutmoor-core/src/node/outbound.rs
@@ -3,7 +3,7 @@
 use super::{Action, Core};
 use crate::{
     admit::Level,
-    call::{Arrival, DEPTH_MAX, Envelope, Role},
+    call::{Arrival, Envelope, MAX_DEPTH, Role},
     class::{self, Class, Key},
     digest::Set,
     error::{Kind, Ran, Refusal},
@@ -67,7 +67,7 @@
 }
 
 /// The maximum number of attempts for one call.
-pub(super) const ATTEMPTS_MAX: usize = 4;
+pub(super) const MAX_ATTEMPTS: usize = 4;
 
 /// Subtracted from the time left that a peer is given, so that its answer
 /// arrives before the deadline of this node.
@@ -227,7 +227,7 @@
         let deadline = parent_call.deadline;
         let left = deadline.since(now);
         if left <= DEADLINE_MARGIN
-            || parent_call.envelope.depth + 1 >= DEPTH_MAX
+            || parent_call.envelope.depth + 1 >= MAX_DEPTH
         {
             return Err(Refusal::new(Kind::Deadline, Ran::No));
         }
--- a/crates/walnutmoor-core/src/node/tickets.rs
+++ b/crates/walnutmoor-core/src/node/tickets.rs
@@ -14,7 +14,7 @@
     gossip::Body,
     id::{CallId, Incarnation, NodeId},
     once::{Begin, Outcome},
-    ticket::{Nonce, Party, SPAN_MAX, Ticket},
+    ticket::{MAX_SPAN, Nonce, Party, Ticket},
     time::Millis,
     witness::Verdict,
 };
@@ -24,7 +24,7 @@
 const RESEND_INTERVAL: Millis = Millis(40);
 
 /// How often a packet is sent before its receiver counts as unresponsive.
-const SENDS_MAX: u32 = 8;
+const MAX_SENDS: u32 = 8;
 
 /// An owner's request for a mark, not yet answered by the witness.
 #[derive(Debug)]
@@ -83,7 +83,7 @@
         let id = ticket_id(ticket);
         let delivery = self.deliveries.entry(id).or_default();
         delivery.send = send;
-        self.expiry.insert((now + SPAN_MAX + SPAN_MAX, id));
+        self.expiry.insert((now + MAX_SPAN + MAX_SPAN, id));
     }
 
     /// Records that the call is sent to the backend server.
@@ -513,7 +513,7 @@
             let (call, ticket) = (pending.call, pending.ticket);
             pending.sends += 1;
             pending.next_send = now + RESEND_INTERVAL;
-            if pending.sends > SENDS_MAX {
+            if pending.sends > MAX_SENDS {
                 self.refuse_marking(now, call, Kind::WitnessSilent, out);
             } else {
                 self.send_packet(
@@ -537,7 +537,7 @@
             let ticket = pending.ticket;
             pending.sends += 1;
             pending.next_send = now + RESEND_INTERVAL;
-            if pending.sends > SENDS_MAX {
+            if pending.sends > MAX_SENDS {
                 let ran = error::Ran::Unknown;
                 let refusal = Refusal::new(Kind::WitnessSilent, ran);
                 self.fail_outbound(now, call, refusal, out);
@@ -562,10 +562,10 @@
             let ticket = inspection.ticket;
             inspection.sends += 1;
             inspection.next_send = now + RESEND_INTERVAL;
-            if inspection.sends > SENDS_MAX && !inspection.asks_witness {
+            if inspection.sends > MAX_SENDS && !inspection.asks_witness {
                 inspection.asks_witness = true;
                 inspection.sends = 1;
-            } else if inspection.sends > SENDS_MAX {
+            } else if inspection.sends > MAX_SENDS {
                 self.inspections.remove(&query);
                 let ran = error::Ran::Unknown;
                 let refusal = Refusal::new(Kind::WitnessSilent, ran);
--- a/crates/walnutmoor-core/src/once.rs
+++ b/crates/walnutmoor-core/src/once.rs
@@ -48,7 +48,7 @@
     digest::{self, Map},
     error::{Kind, Ran, Refusal},
     id::CallId,
-    ticket::{Nonce, Party, SPAN_MAX, Ticket},
+    ticket::{MAX_SPAN, Nonce, Party, Ticket},
     time::Millis,
 };
 
@@ -81,7 +81,7 @@
 pub const CHART: &str = include_str!("../charts/ticket.yaml");
 
 /// The maximum number of callers that wait for one ticket.
-const WAITERS_MAX: usize = 16;
+const MAX_WAITERS: usize = 16;
 
 /// How long a ticket is kept after it expired, so that its outcome can still
 /// be queried, and the interval at which a ticket that is still active is
@@ -174,7 +174,7 @@
         stamp: Millis,
         span: Millis,
     ) -> Result<Ticket, Refusal> {
-        let span = span.min(SPAN_MAX);
+        let span = span.min(MAX_SPAN);
         let nonce = self.nonce(self.issued.wrapping_add(1));
         self.insert(now, nonce, span)?;
         self.issued = self.issued.wrapping_add(1);
@@ -195,9 +195,9 @@
     ) -> Result<Ticket, Refusal> {
         let nonce = Nonce(digest::of(&(parent, step, self.secret)));
         if !self.entries.contains_key(&nonce) {
-            self.insert(now, nonce, SPAN_MAX)?;
+            self.insert(now, nonce, MAX_SPAN)?;
         }
-        let (owner, span) = (self.owner, SPAN_MAX);
+        let (owner, span) = (self.owner, MAX_SPAN);
         Ok(Ticket { owner, nonce, witness: owner, stamp: now, span })
     }
 
@@ -406,7 +406,7 @@
 }
 
 fn join(entry: &mut Entry, waiter: CallId) -> Begin {
-    if entry.waiters.len() >= WAITERS_MAX {
+    if entry.waiters.len() >= MAX_WAITERS {
         // Only this caller is refused; the call itself continues.
         let full = Refusal::new(Kind::Full, Ran::Unknown);
         return Begin::Refuse(full.retry_after(Millis(1_000)));
--- a/crates/walnutmoor-core/src/platform.rs
+++ b/crates/walnutmoor-core/src/platform.rs
@@ -55,12 +55,12 @@
 pub struct Object {
     /// The version of this value.
     pub version: Version,
-    /// The value; at most [`VALUE_MAX`] bytes.
+    /// The value; at most [`MAX_VALUE_BYTES`] bytes.
     pub value: String,
 }
 
 /// The maximum length of a value, in bytes.
-pub const VALUE_MAX: usize = 1 << 20;
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// A request to the platform.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
--- a/crates/walnutmoor-core/src/poison/evidence.rs
+++ b/crates/walnutmoor-core/src/poison/evidence.rs
@@ -9,7 +9,7 @@
 
 /// Entries kept in each set. Crashes beyond those that bar a request extend
 /// the time for which it is barred.
-const CRASHES_MAX: usize = 8;
+const MAX_CRASHES: usize = 8;
 
 /// Crashes from which evidence is written to the store and sent to nodes that
 /// connect later. After a single crash, every request that the instance ran is
@@ -72,11 +72,11 @@
     }
 }
 
-/// Adds missing crashes, up to [`CRASHES_MAX`]. Returns true if any was added.
+/// Adds missing crashes, up to [`MAX_CRASHES`]. Returns true if any was added.
 fn union(own: &mut Vec<Crash>, other: &[Crash]) -> bool {
     let before = own.len();
     for crash in other {
-        if own.len() < CRASHES_MAX && !own.contains(crash) {
+        if own.len() < MAX_CRASHES && !own.contains(crash) {
             own.push(*crash);
         }
     }
--- a/crates/walnutmoor-core/src/poison/isolation.rs
+++ b/crates/walnutmoor-core/src/poison/isolation.rs
@@ -14,7 +14,7 @@
 
 /// The most suspects queued at an instance. Beyond this, a client is better
 /// served by retrying later.
-const WAITING_MAX: usize = 64;
+const MAX_WAITING: usize = 64;
 
 /// Crashes from which a suspect runs alone.
 const MIN_CRASHES_TO_RUN_ALONE: u32 = 2;
@@ -68,7 +68,7 @@
             self.running.insert(call, crashes);
             return Admission::Admitted;
         }
-        if self.waiting.len() >= WAITING_MAX {
+        if self.waiting.len() >= MAX_WAITING {
             return Admission::Rejected;
         }
         self.waiting.push_back((call, crashes));
--- a/crates/walnutmoor-core/src/poison/register.rs
+++ b/crates/walnutmoor-core/src/poison/register.rs
@@ -13,14 +13,14 @@
 /// The most extra crashes needed to bar a request, one for each refuted crash.
 /// A poison request never succeeds, whereas content shared by many clients
 /// does and is running whenever an instance crashes for another reason.
-const EXTRA_CRASHES_MAX: u32 = 2;
+const MAX_EXTRA_CRASHES: u32 = 2;
 
 /// How long a request is barred for at first. It is then tried again, as the
 /// fault may have been fixed by a release.
 const BAR_DURATION: Millis = Millis(600_000);
 
 /// The most times [`BAR_DURATION`] doubles, once for each further crash.
-const DOUBLINGS_MAX: u32 = 3;
+const MAX_DOUBLINGS: u32 = 3;
 
 /// How long a suspicion without new crashes is kept; longer than clients
 /// retry.
@@ -31,7 +31,7 @@
 const REFUTED_TTL: Millis = Millis(60_000);
 
 /// The most requests tracked, to bound memory.
-const RECORDS_MAX: usize = 2_048;
+const MAX_RECORDS: usize = 2_048;
 
 /// The judgement of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -84,7 +84,7 @@
     /// Crashes from which this request is barred.
     fn min_crashes_to_bar(&self) -> u32 {
         let refuted = self.evidence.refuted.len() as u32;
-        MIN_CRASHES_TO_BAR + refuted.min(EXTRA_CRASHES_MAX)
+        MIN_CRASHES_TO_BAR + refuted.min(MAX_EXTRA_CRASHES)
     }
 
     /// True if the record may be dropped.
@@ -110,7 +110,7 @@
 /// How long a request with this number of crashes is barred for.
 fn bar_duration(crashes: u32) -> Millis {
     let doublings =
-        crashes.saturating_sub(MIN_CRASHES_TO_BAR).min(DOUBLINGS_MAX);
+        crashes.saturating_sub(MIN_CRASHES_TO_BAR).min(MAX_DOUBLINGS);
     Millis(BAR_DURATION.0 << doublings)
 }
 
@@ -261,7 +261,7 @@
     /// requests.
     fn make_room(&mut self, newcomer: Fingerprint) {
         let known = self.records.contains_key(&newcomer);
-        if known || self.records.len() < RECORDS_MAX {
+        if known || self.records.len() < MAX_RECORDS {
             return;
         }
         let least = self.records.values().min_by_key(|record| {
--- a/crates/walnutmoor-core/src/poison/success.rs
+++ b/crates/walnutmoor-core/src/poison/success.rs
@@ -17,7 +17,7 @@
 
 /// The most successes remembered, to bound memory. Rare content is evicted
 /// sooner, which is harmless: only frequent content needs the protection.
-const SUCCESSES_MAX: usize = 4_096;
+const MAX_SUCCESSES: usize = 4_096;
 
 /// The latest success of each content.
 #[derive(Debug, Default)]
@@ -31,7 +31,7 @@
     pub(super) fn record(&mut self, now: Millis, content: Fingerprint) {
         self.last.insert(content, now);
         self.order.push_back((now, content));
-        while self.order.len() > SUCCESSES_MAX {
+        while self.order.len() > MAX_SUCCESSES {
             let Some((at, oldest)) = self.order.pop_front() else {
                 return;
             };
--- a/crates/walnutmoor-core/src/retry.rs
+++ b/crates/walnutmoor-core/src/retry.rs
@@ -80,10 +80,10 @@
 const TOKENS_PER_FIRST_ATTEMPT: f64 = 0.1;
 
 /// The maximum number of tokens of a pair.
-const TOKENS_MAX: f64 = 10.0;
+const MAX_TOKENS: f64 = 10.0;
 
 /// The maximum number of pairs kept. Other pairs may not retry.
-const PAIRS_MAX: usize = 4_096;
+const MAX_PAIRS: usize = 4_096;
 
 /// Limits retries to a share of the first attempts, for each pair of services.
 #[derive(Debug, Default)]
@@ -106,8 +106,8 @@
     ) {
         let pair = (from.cloned(), to.clone());
         if let Some(tokens) = self.tokens.get_mut(&pair) {
-            *tokens = (*tokens + TOKENS_PER_FIRST_ATTEMPT).min(TOKENS_MAX);
-        } else if self.tokens.len() < PAIRS_MAX {
+            *tokens = (*tokens + TOKENS_PER_FIRST_ATTEMPT).min(MAX_TOKENS);
+        } else if self.tokens.len() < MAX_PAIRS {
             // Start with one token, so that a pair with little traffic can
             // retry.
             self.tokens.insert(pair, 1.0 + TOKENS_PER_FIRST_ATTEMPT);
--- a/crates/walnutmoor-core/src/ticket.rs
+++ b/crates/walnutmoor-core/src/ticket.rs
@@ -51,10 +51,10 @@
 }
 
 /// The maximum span for which an owner accepts a ticket.
-pub const SPAN_MAX: Millis = Millis(60_000);
+pub const MAX_SPAN: Millis = Millis(60_000);
 
 /// The maximum age of a witness timestamp that an owner puts into a ticket.
-pub const STAMP_AGE_MAX: Millis = Millis(15_000);
+pub const MAX_STAMP_AGE: Millis = Millis(15_000);
 
 /// How long after its timestamp a witness remembers a ticket: the time until
 /// the ticket is issued, its span, and the same again for late queries.
--- a/crates/walnutmoor-standin/src/measure/slopes.rs
+++ b/crates/walnutmoor-standin/src/measure/slopes.rs
@@ -108,7 +108,7 @@
     }
     // Drains the pending updates, to reach the steady state.
     while gossip.members().pending_updates() > 0 {
-        gossip.members_mut().take_updates(member::PACKET_UPDATES_MAX);
+        gossip.members_mut().take_updates(member::MAX_PACKET_UPDATES);
     }
     gossip.members_mut().take_events();
     gossip
@@ -126,7 +126,7 @@
         let mut changed = record(1 + round % (members - 1));
         changed.version += 1 + round as u64;
         gossip.members_mut().merge(Millis(2), &changed);
-        gossip.members_mut().take_updates(member::PACKET_UPDATES_MAX);
+        gossip.members_mut().take_updates(member::MAX_PACKET_UPDATES);
     }
     print(
         "learn_one_record",
@@ -159,7 +159,7 @@
 /// Sizes of membership packets.
 fn measure_packets(members: usize, gossip: &mut Gossip) {
     while gossip.members().pending_updates() > 0 {
-        gossip.members_mut().take_updates(member::PACKET_UPDATES_MAX);
+        gossip.members_mut().take_updates(member::MAX_PACKET_UPDATES);
     }
     let probe = Body::Member(member::Message::Probe { seq: 1 });
     let empty = gossip.build_packet(Revision(1), probe.clone()).encode().len();
--- a/crates/walnutmoor/src/platform/http.rs
+++ b/crates/walnutmoor/src/platform/http.rs
@@ -11,7 +11,7 @@
 };
 use serde::Deserialize;
 use walnutmoor_core::platform::{
-    Key, Object, Reply, Request, VALUE_MAX, Version,
+    Key, MAX_VALUE_BYTES, Object, Reply, Request, Version,
 };
 
 /// The timeout of a request, in addition to the wait of a watch.
@@ -21,7 +21,7 @@
 const WATCH_WAIT: Duration = Duration::from_secs(20);
 
 /// The maximum size of a response body; lists contain several values.
-const MAX_RESPONSE_BYTES: usize = 16 * VALUE_MAX;
+const MAX_RESPONSE_BYTES: usize = 16 * MAX_VALUE_BYTES;
 
 /// A client of the platform's object API over HTTP.
 #[derive(Debug)]
