--- a/crates/walnutmoor-core/src/catch_up.rs
+++ b/crates/walnutmoor-core/src/catch_up.rs
@@ -53,7 +53,7 @@
 }
 
 impl CatchUp {
-    /// No desired state has been offered.
+    /// Creates a tracker to which no desired state has been offered.
     pub fn new() -> CatchUp {
         CatchUp::default()
     }
--- a/crates/walnutmoor-core/src/config.rs
+++ b/crates/walnutmoor-core/src/config.rs
@@ -43,7 +43,7 @@
     time::Millis,
 };
 
-/// The most journal entries kept in the configuration object.
+/// The maximum number of journal entries kept in the configuration object.
 pub const MAX_JOURNAL_ENTRIES: usize = 64;
 
 /// The number of journal entries in one page of the audit trail.
--- a/crates/walnutmoor-core/src/footprint.rs
+++ b/crates/walnutmoor-core/src/footprint.rs
@@ -7,10 +7,10 @@
 ingress knows which routes to cut before any of their requests has failed.
 
 A footprint also carries what fraction of requests the instances shed and how
-much of their retry budget is spent, so an ingress learns of trouble at
-services that it sends nothing to itself. Finally, it records whether a call
+much of their retry budget is spent, so an ingress learns of overload at
+services that it does not call itself. Finally, it records whether a call
 was refused, to tell a run that failed because of overload from one that failed
-by itself.
+for another reason.
 
 # Example
 
--- a/crates/walnutmoor-core/src/gate.rs
+++ b/crates/walnutmoor-core/src/gate.rs
@@ -243,7 +243,7 @@
     }
 
     fn start(&mut self, now: Millis, call: CallId) {
-        self.usage.note(now, self.in_flight(), self.queue.len());
+        self.usage.record(now, self.in_flight(), self.queue.len());
         self.running.insert(call, now);
     }
 
@@ -257,7 +257,7 @@
         completion: Completion,
         service_time: Millis,
     ) -> bool {
-        self.usage.note(now, self.in_flight(), self.queue.len());
+        self.usage.record(now, self.in_flight(), self.queue.len());
         let Some(started) = self.running.remove(&call) else {
             return false;
         };
@@ -295,7 +295,7 @@
             let kind = if late { Kind::Deadline } else { Kind::Queued };
             out.push(Step::Refuse(entry.call, kind));
         }
-        self.usage.note(now, self.in_flight(), self.queue.len());
+        self.usage.record(now, self.in_flight(), self.queue.len());
         while !self.queue.is_empty() && self.has_room(warmup) {
             let Some(entry) = self.queue.pop() else { break };
             self.start(now, entry.call);
@@ -367,7 +367,7 @@
 impl Usage {
     /// Records that `running` calls ran since the last update and that
     /// `waiting` calls are queued now.
-    fn note(&mut self, now: Millis, running: usize, waiting: usize) {
+    fn record(&mut self, now: Millis, running: usize, waiting: usize) {
         self.slot_millis += running as f64 * now.since(self.updated).0 as f64;
         self.updated = now;
         let min_queued = self.min_queued.map_or(waiting, |s| s.min(waiting));
@@ -380,7 +380,7 @@
         running: usize,
         waiting: usize,
     ) -> (f64, usize) {
-        self.note(now, running, waiting);
+        self.record(now, running, waiting);
         let span = now.since(self.window_start).0.max(1) as f64;
         let used = self.slot_millis / span;
         let min_queued = self.min_queued.unwrap_or(0);
--- a/crates/walnutmoor-core/src/gossip.rs
+++ b/crates/walnutmoor-core/src/gossip.rs
@@ -163,10 +163,11 @@
 /// Minimum time between two repair requests of a node that has just joined.
 const JOIN_REPAIR_INTERVAL: Millis = Millis(500);
 
-/// The most records in one answer; bounds the bandwidth of a joining node.
+/// The maximum number of records in one answer; bounds the bandwidth of a
+/// joining node.
 const MAX_RECORDS: usize = 240;
 
-/// The most records in the answer to a look-up.
+/// The maximum number of records in the answer to a look-up.
 const MAX_LOOKUP_RECORDS: usize = 16;
 
 /// Membership with anti-entropy.
--- a/crates/walnutmoor-core/src/member.rs
+++ b/crates/walnutmoor-core/src/member.rs
@@ -99,7 +99,7 @@
 /// Packets that carry an update, for each doubling of the number of nodes.
 const RETRANSMIT_FACTOR: u32 = 2;
 
-/// The most updates in one packet, so that it fits in a datagram.
+/// The maximum number of updates in one packet, so that it fits in a datagram.
 pub const MAX_PACKET_UPDATES: usize = 16;
 
 #[derive(Debug)]
--- a/crates/walnutmoor-core/src/node/completion.rs
+++ b/crates/walnutmoor-core/src/node/completion.rs
@@ -28,14 +28,14 @@
         match reply {
             Reply::Complete { status, size, trailer } => {
                 let succeeded = !is_error(status);
-                self.router.answered(now, to, trailer.load, succeeded);
+                self.picker.answered(now, to, trailer.load, succeeded);
                 self.apply_trailer(now, call, &trailer);
                 self.complete(now, call, succeeded, size, out);
             }
             Reply::Refused { refusal, trailer } => {
-                self.router.answered(now, to, trailer.load, true);
+                self.picker.answered(now, to, trailer.load, true);
                 if refusal.kind == Kind::Leaving {
-                    self.router.failed(now, to);
+                    self.picker.failed(now, to);
                 }
                 self.apply_trailer(now, call, &trailer);
                 match refusal.allows_transparent_retry() && !relayed {
@@ -44,19 +44,19 @@
                 }
             }
             Reply::Unreachable if relayed => {
-                self.router.failed(now, to);
+                self.picker.failed(now, to);
                 self.ask_witness(now, call, out);
             }
             Reply::Unreachable => {
                 outbound.budget.give_back(outbound.envelope.budget.left());
-                self.router.failed(now, to);
+                self.picker.failed(now, to);
                 let refusal = Refusal::new(Kind::Unreachable, Ran::No);
                 let wait = self.jitter(Millis(500));
                 let refusal = refusal.retry_after(wait);
                 self.try_next_server(now, call, refusal, out);
             }
             Reply::Broken => {
-                self.router.failed(now, to);
+                self.picker.failed(now, to);
                 self.connection_lost(now, call, relayed, out);
             }
         }
@@ -262,7 +262,7 @@
             return;
         }
         if let Some(to) = outbound.to {
-            self.router.abandoned(to);
+            self.picker.abandoned(to);
             out.push(Action::Abort { call });
         }
         let refusal = Refusal::new(Kind::Canceled, Ran::Unknown);
@@ -297,7 +297,7 @@
             return;
         }
         if let Some(to) = outbound.to {
-            self.router.abandoned(to);
+            self.picker.abandoned(to);
             out.push(Action::Abort { call });
         }
         self.fail_outbound(now, call, refusal, out);
--- a/crates/walnutmoor-core/src/node/control.rs
+++ b/crates/walnutmoor-core/src/node/control.rs
@@ -134,8 +134,9 @@
         let gossip =
             gossip.max(self.control.last_gossip_tick + GOSSIP_TICK_INTERVAL);
         let proposer = self.proposer.next_wake().unwrap_or(Millis::NEVER);
-        let steady = self.control.last_gossip_tick + member::PROBE_INTERVAL;
-        gossip.min(proposer).min(steady)
+        let latest_tick =
+            self.control.last_gossip_tick + member::PROBE_INTERVAL;
+        gossip.min(proposer).min(latest_tick)
     }
 
     pub(super) fn tick_control(&mut self, now: Millis, out: &mut Vec<Action>) {
@@ -176,7 +177,7 @@
                 member::Event::Up(node) => Note::Up(node),
                 member::Event::Down(node) => Note::Down(node),
                 member::Event::Restarted(node) => {
-                    self.router.restarted(node);
+                    self.picker.restarted(node);
                     continue;
                 }
             };
@@ -437,13 +438,13 @@
         out: &mut Vec<Action>,
     ) {
         self.stats.packets += 1;
-        let (from, theirs) = (packet.from, packet.revision);
+        let (from, peer_revision) = (packet.from, packet.revision);
         let mut sent = Vec::new();
         let rng = &mut self.rng;
         let rest = self.gossip.receive(now, packet, rng, &mut sent);
         self.send_packets(sent, out);
         self.note_members(out);
-        self.compare_revision(from, theirs, out);
+        self.compare_revision(from, peer_revision, out);
         if let Some(body) = rest {
             self.body_received(now, from, body, out);
         }
@@ -454,11 +455,11 @@
     fn compare_revision(
         &mut self,
         from: NodeId,
-        theirs: Revision,
+        peer_revision: Revision,
         out: &mut Vec<Action>,
     ) {
         let own = self.configuration.revision;
-        if theirs > own {
+        if peer_revision > own {
             self.send_packet(from, Body::Pull(own), out);
             return;
         }
@@ -468,7 +469,8 @@
         // Only equal, non-initial revisions confirm each other.
         let directory = self.gossip.members().directory();
         let zone = directory.get(from).map(|r| r.zone.clone());
-        if let Some(zone) = zone.filter(|_| theirs == own && own.0 > 0) {
+        if let Some(zone) = zone.filter(|_| peer_revision == own && own.0 > 0)
+        {
             self.confirmed_zones.insert(zone);
             self.try_enter_force(out);
         }
--- a/crates/walnutmoor-core/src/node/inbound.rs
+++ b/crates/walnutmoor-core/src/node/inbound.rs
@@ -75,16 +75,16 @@
 
     /// Records a service that this call depends on.
     pub(super) fn record_downstream(&mut self, service: &Service) {
-        let room = self.downstream.len() < MAX_PATH_SERVICES;
-        if room && !self.downstream.contains(service) {
+        let has_room = self.downstream.len() < MAX_PATH_SERVICES;
+        if has_room && !self.downstream.contains(service) {
             self.downstream.push(service.clone());
         }
     }
 
     /// The time spent in the server itself, without child calls.
     fn own_time(&self, now: Millis) -> Millis {
-        let whole = self.started.map_or(Millis(0), |at| now.since(at));
-        whole.since(self.children_time)
+        let total_time = self.started.map_or(Millis(0), |at| now.since(at));
+        total_time.since(self.children_time)
     }
 }
 
@@ -117,9 +117,9 @@
         let deadline = now + envelope.left;
         let (key, applied) = (envelope.key, envelope.applied);
         let offer = Offer { call, key, applied, deadline };
-        let warmth = self.server.warmup_progress(now);
+        let warmup = self.server.warmup_progress(now);
         let Some(gate) = &mut self.gate else { return };
-        let verdict = gate.offer(now, offer, warmth);
+        let verdict = gate.offer(now, offer, warmup);
         self.inbound.insert(call, Inbound::new(envelope, deadline));
         self.timers.insert((deadline, call));
         match verdict {
@@ -243,10 +243,10 @@
             reports.extend(known);
         }
         reports.truncate(MAX_REPORTS);
-        let warmth = self.server.warmup_progress(now);
+        let warmup = self.server.warmup_progress(now);
         let load = gate.map(|gate| Load {
             busy: (gate.in_flight() + gate.queued()) as u32,
-            allowed: gate.allowed(warmth),
+            allowed: gate.allowed(warmup),
         });
         Trailer {
             load,
@@ -393,10 +393,10 @@
     /// Starts queued calls while there is room, and refuses those that waited
     /// too long.
     pub(super) fn advance_gate(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let warmth = self.server.warmup_progress(now);
+        let warmup = self.server.warmup_progress(now);
         let Some(gate) = &mut self.gate else { return };
         let mut steps = Vec::new();
-        gate.advance(now, warmth, &mut steps);
+        gate.advance(now, warmup, &mut steps);
         let shedding = gate.level() < Level::OPEN;
         for step in steps {
             match step {
--- a/crates/walnutmoor-core/src/node/outbound.rs
+++ b/crates/walnutmoor-core/src/node/outbound.rs
@@ -317,7 +317,7 @@
         let directory = self.gossip.members().directory();
         let servers = directory.servers(&service);
         let to = servers.and_then(|servers| {
-            self.router.pick(now, servers, &outbound.tried, &mut self.rng)
+            self.picker.pick(now, servers, &outbound.tried, &mut self.rng)
         });
         let Some(to) = to else {
             let refusal = self.no_server(&service, out);
@@ -382,7 +382,7 @@
             let from = envelope.from.as_ref();
             self.retry_limiter.record_first_attempt(from, &envelope.service);
         }
-        self.router.sent(to);
+        self.picker.sent(to);
         self.stats.forwarded += 1;
         out.push(Action::Forward { call, to, envelope });
     }
--- a/crates/walnutmoor-core/src/node/stats.rs
+++ b/crates/walnutmoor-core/src/node/stats.rs
@@ -108,7 +108,7 @@
 impl Core {
     pub(super) fn status(&self, now: Millis) -> Status {
         let directory = self.gossip.members().directory();
-        let warmth = self.server.warmup_progress(now);
+        let warmup = self.server.warmup_progress(now);
         let gate = self.gate.as_ref();
         let level = gate.map(|g| g.level()).unwrap_or_default();
         Status {
@@ -123,7 +123,7 @@
             ways: self.view.path_levels(now),
             running: gate.map_or(0, |g| g.in_flight()),
             queued: gate.map_or(0, |g| g.queued()),
-            allowed: gate.map_or(0, |g| g.allowed(warmth)),
+            allowed: gate.map_or(0, |g| g.allowed(warmup)),
             outbound: self.outbound.len(),
             tickets: self.ledger.len(),
             marks: self.witness.len(),
--- a/crates/walnutmoor-core/src/node/tickets.rs
+++ b/crates/walnutmoor-core/src/node/tickets.rs
@@ -450,9 +450,9 @@
                 Body::VerdictReply(ticket, verdict)
             }
             Body::OutcomeRequest(ticket) => {
-                let mine = ticket.owner == self.me;
+                let is_owner = ticket.owner == self.me;
                 let outcome = self.ledger.outcome(now, ticket.nonce);
-                Body::OutcomeReply(ticket, outcome.filter(|_| mine))
+                Body::OutcomeReply(ticket, outcome.filter(|_| is_owner))
             }
             _ => return,
         };
--- a/crates/walnutmoor-core/src/picker.rs
+++ b/crates/walnutmoor-core/src/picker.rs
@@ -62,8 +62,8 @@
 /// The weight of one response in the moving average of the error rate.
 const ERROR_RATE_WEIGHT: f64 = 0.1;
 
-/// The most servers with statistics; the least recently heard from are dropped
-/// first.
+/// The maximum number of servers with statistics; the least recently heard
+/// from are dropped first.
 const MAX_SERVERS: usize = 4_096;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -260,7 +260,8 @@
     }
 }
 
-/// The most servers scanned when no random draw hit an eligible one.
+/// The maximum number of servers scanned when no random draw hit an eligible
+/// one.
 const MAX_SCANNED_SERVERS: usize = 64;
 
 /// The number of servers that are compared.
--- a/crates/walnutmoor-core/src/poison/isolation.rs
+++ b/crates/walnutmoor-core/src/poison/isolation.rs
@@ -12,8 +12,8 @@
 
 use crate::{digest::Map, id::CallId};
 
-/// The most suspects queued at an instance. Beyond this, a client is better
-/// served by retrying later.
+/// The maximum number of suspects queued at an instance. Beyond this, a client
+/// is better served by retrying later.
 const MAX_WAITING: usize = 64;
 
 /// Crashes from which a suspect runs alone.
@@ -50,13 +50,14 @@
     /// shared content are refused more often.
     pub const MAX_CONCURRENT: usize = 16;
 
-    /// An empty instance with the default limit.
+    /// Creates the state of an instance without suspects, with the default
+    /// limit.
     pub fn new() -> Isolation {
         Isolation::with_max_concurrent(Isolation::MAX_CONCURRENT)
     }
 
-    /// An empty instance that runs at most `max_concurrent` suspects of one
-    /// crash at a time.
+    /// Creates the state of an instance that runs at most `max_concurrent`
+    /// suspects of one crash at a time.
     pub fn with_max_concurrent(max_concurrent: usize) -> Isolation {
         let running = Map::default();
         Isolation { max_concurrent, running, waiting: VecDeque::new() }
--- a/crates/walnutmoor-core/src/poison/register.rs
+++ b/crates/walnutmoor-core/src/poison/register.rs
@@ -10,7 +10,8 @@
 /// the second one.
 const MIN_CRASHES_TO_BAR: u32 = 3;
 
-/// The most extra crashes needed to bar a request, one for each refuted crash.
+/// The maximum number of extra crashes needed to bar a request, one for each
+/// refuted crash.
 /// A poison request never succeeds, whereas content shared by many clients
 /// does and is running whenever an instance crashes for another reason.
 const MAX_EXTRA_CRASHES: u32 = 2;
@@ -19,7 +20,8 @@
 /// fault may have been fixed by a release.
 const BAR_DURATION: Millis = Millis(600_000);
 
-/// The most times [`BAR_DURATION`] doubles, once for each further crash.
+/// The maximum number of times that [`BAR_DURATION`] doubles, once for each
+/// further crash.
 const MAX_DOUBLINGS: u32 = 3;
 
 /// How long a suspicion without new crashes is kept; longer than clients
@@ -30,10 +32,10 @@
 /// late does not make it suspect again.
 const REFUTED_TTL: Millis = Millis(60_000);
 
-/// The most requests tracked, to bound memory.
+/// The maximum number of requests tracked, to bound memory.
 const MAX_RECORDS: usize = 2_048;
 
-/// The judgement of a request.
+/// Whether a request is clear, suspect or barred.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Standing {
     /// No unrefuted crash.
--- a/crates/walnutmoor-core/src/poison/success.rs
+++ b/crates/walnutmoor-core/src/poison/success.rs
@@ -15,8 +15,9 @@
 /// later, when the data it acts on changes.
 const SUCCESS_TTL: Millis = Millis(10_000);
 
-/// The most successes remembered, to bound memory. Rare content is evicted
-/// sooner, which is harmless: only frequent content needs the protection.
+/// The maximum number of successes remembered, to bound memory. Rare content
+/// is evicted sooner, which is harmless: only frequent content needs the
+/// protection.
 const MAX_SUCCESSES: usize = 4_096;
 
 /// The latest success of each content.
--- a/crates/walnutmoor-core/src/throttle/route.rs
+++ b/crates/walnutmoor-core/src/throttle/route.rs
@@ -157,13 +157,13 @@
         pressures: &Pressures,
         hidden: f64,
     ) -> f64 {
-        let of = |p: &Pressure| scale_factor(p, p.demand.max(hidden));
+        let factor = |p: &Pressure| scale_factor(p, p.demand.max(hidden));
         if self.slot_ms.is_empty() {
-            return of(&pressures.worst);
+            return factor(&pressures.worst);
         }
         let keys = self.slot_ms.keys();
         let known = keys.filter_map(|key| pressures.by_service.get(key));
-        known.map(of).fold(f64::INFINITY, f64::min)
+        known.map(factor).fold(f64::INFINITY, f64::min)
     }
 
     /// Returns true if the admitted fraction follows demand.
--- a/crates/walnutmoor-core/tests/account.rs
+++ b/crates/walnutmoor-core/tests/account.rs
@@ -43,7 +43,7 @@
 #[test]
 fn unknown_keys_are_refused() {
     let long = "k".repeat(100_000);
-    let odd: [&[u8]; 8] = [
+    let unknown_keys: [&[u8]; 8] = [
         b"",
         b" ",
         b"K-1",
@@ -54,7 +54,7 @@
         long.as_bytes(),
     ];
 
-    for key in odd {
+    for key in unknown_keys {
         assert_eq!(
             authenticate(Key::One(key), sender()),
             Err(Kind::UnknownKey)
--- a/crates/walnutmoor-core/tests/lifetime.rs
+++ b/crates/walnutmoor-core/tests/lifetime.rs
@@ -97,7 +97,7 @@
     assert!(!tracker.is_ready());
 }
 
-/// Lifetimes that follow one another report, drain and say goodbye, and their
+/// Successive lifetimes report, drain and announce their departure, and their
 /// messages arrive in random order. The oracle knows the messages that
 /// arrived.
 #[test]
@@ -107,7 +107,7 @@
         let count = rng.random_range(1..4);
         let mut messages: Vec<(usize, Option<u64>, bool)> = Vec::new();
         let ids = ["i-1", "i-1", "i-2", "i-1"];
-        let lives: Vec<Lifetime> = (0..count)
+        let lifetimes: Vec<Lifetime> = (0..count)
             .map(|n| life(ids[rng.random_range(0..4)], 100 * (n as u64 + 1)))
             .collect();
         for n in 0..count {
@@ -128,7 +128,7 @@
         let mut left = vec![false; count];
         let mut last = vec![None; count];
         for (n, sequence, ready) in messages {
-            let lifetime = &lives[n];
+            let lifetime = &lifetimes[n];
             match sequence {
                 Some(sequence) => {
                     tracker.report(&report(lifetime, sequence, ready));
@@ -143,8 +143,8 @@
                 None => {
                     tracker.leave(lifetime);
                     left[n] = true;
-                    // A goodbye alone makes a lifetime current only if there
-                    // is none.
+                    // A departure alone makes a lifetime current only if
+                    // there is none.
                     if newest.is_none() {
                         newest = Some(n);
                     }
@@ -154,9 +154,9 @@
             let current = tracker.current().unwrap();
             let at = newest.unwrap();
             let context =
-                format!("seed {seed}: {current:?}, truth {:?}", lives[at]);
-            if current.lifetime != lives[at] {
-                // Only a lifetime that said goodbye before its first report
+                format!("seed {seed}: {current:?}, truth {:?}", lifetimes[at]);
+            if current.lifetime != lifetimes[at] {
+                // Only a lifetime that departed before its first report
                 // never becomes current.
                 assert!(left[at], "{context}");
                 continue;
--- a/crates/walnutmoor-core/tests/quota.rs
+++ b/crates/walnutmoor-core/tests/quota.rs
@@ -20,8 +20,8 @@
 /// Number of seeds for random faults, multiplied by `WALNUTMOOR_FUZZ`.
 const SEEDS: u64 = 60;
 
-/// Seeds that exceeded the limit with too deep a bucket: repeated restarts of
-/// most nodes, and a partition after a pause.
+/// Seeds with which a deeper bucket would exceed the limit: repeated restarts
+/// of most nodes, and a partition after a pause.
 const REGRESSION_SEEDS: [u64; 3] = [200, 492, 769];
 
 /// Load of calm accounts, as a fraction of their quota.
--- a/crates/walnutmoor-core/tests/simulation/mod.rs
+++ b/crates/walnutmoor-core/tests/simulation/mod.rs
@@ -424,7 +424,7 @@
         };
         let rank = request.rank(self.scenario.inherit_priority);
         let moved = !request.retry_state.tried().is_empty();
-        let again = request.retry_state.arrivals() > 0;
+        let is_retry = request.retry_state.arrivals() > 0;
         let work = Work {
             id: CallId(id),
             priority: rank,
@@ -439,13 +439,13 @@
             }
         };
         let retry_budget = &mut self.retry_budgets[instance];
-        if again && !retry_budget.try_retry_for(self.now, priority) {
+        if is_retry && !retry_budget.try_retry_for(self.now, priority) {
             return self.call_rejected(id, instance, Outcome::BudgetExhausted);
         }
         if !moved {
             retry_budget.record_request(self.now);
         }
-        match again {
+        match is_retry {
             true => self.arrivals.1 += 1,
             false => self.arrivals.0 += u32::from(!moved),
         }
@@ -481,13 +481,13 @@
 
     /// Handles a call that was rejected, by an instance or before it reached
     /// one.
-    fn call_rejected(&mut self, id: u64, instance: usize, word: Outcome) {
-        let reached = word == Outcome::InstanceRejected;
+    fn call_rejected(&mut self, id: u64, instance: usize, outcome: Outcome) {
+        let reached = outcome == Outcome::InstanceRejected;
         self.report_load(id, instance, reached.then_some(true));
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        match request.retry_state.record(node(instance), word) {
+        match request.retry_state.record(node(instance), outcome) {
             Decision::Retry => self.call(id),
             Decision::Stop => self.end(id, false),
         }
