--- a/crates/walnutmoor-core/src/admit.rs
+++ b/crates/walnutmoor-core/src/admit.rs
@@ -356,9 +356,9 @@
             let open = open as usize;
             let count: u32 = counts[..open].iter().sum();
             counts.fill(0);
-            let part = open as f64 / STEPS_PER_RANK as f64;
+            let open_share = open as f64 / STEPS_PER_RANK as f64;
             let known = self.demand[rank];
-            self.demand[rank] = update_demand(known, count, part, secs);
+            self.demand[rank] = update_demand(known, count, open_share, secs);
         }
         self.recent.rotate_right(1);
         self.recent[0] = WindowCount { count: total, secs };
@@ -452,29 +452,29 @@
 const OPEN_LEVEL: f64 = Key::COUNT as f64;
 
 /// Returns the updated demand estimate of a rank, in calls per second, after a
-/// window in which the share `part` of its steps was open.
+/// window in which the share `open_share` of its steps was open.
 fn update_demand(
     known: Option<f64>,
     count: u32,
-    part: f64,
+    open_share: f64,
     secs: f64,
 ) -> Option<f64> {
-    if part == 0.0 {
+    if open_share == 0.0 {
         return known.map(|demand| demand * CLOSED_DEMAND_DECAY);
     }
-    let fresh = f64::from(count) / secs / part;
+    let fresh = f64::from(count) / secs / open_share;
     let Some(old) = known else {
         // A class that is just opening shows too little demand at first.
-        return (part >= 1.0 || count > 0).then_some(fresh);
+        return (open_share >= 1.0 || count > 0).then_some(fresh);
     };
     let weight =
         if fresh > old { RISING_DEMAND_WEIGHT } else { FALLING_DEMAND_WEIGHT };
-    let expected = old * secs * part;
+    let expected = old * secs * open_share;
     let deviation = (f64::from(count) - expected).abs();
     let by_chance = deviation <= NOISE_STD_DEVS * (expected.sqrt() + 1.0);
     // With few open steps the estimate is too noisy for full weight.
-    let by_chance = by_chance || part < FULL_WEIGHT_OPEN_SHARE;
-    let seen = fresh.max(old) * secs * part;
+    let by_chance = by_chance || open_share < FULL_WEIGHT_OPEN_SHARE;
+    let seen = fresh.max(old) * secs * open_share;
     let trust =
         if by_chance { seen / (seen + HALF_WEIGHT_CALLS) } else { 1.0 };
     let weight = weight * trust;
--- a/crates/walnutmoor-core/src/admit/view.rs
+++ b/crates/walnutmoor-core/src/admit/view.rs
@@ -97,13 +97,13 @@
         let origin = report.origin;
         let at = Millis(now.0.saturating_sub(report.age.0));
         let reported = ReportedLevel { origin, level, at };
-        if let Some(old) = list.iter_mut().find(|h| h.origin == origin) {
+        if let Some(old) = list.iter_mut().find(|r| r.origin == origin) {
             if old.at <= at {
                 *old = reported;
             }
         } else if list.len() < MAX_ORIGINS {
             list.push(reported);
-        } else if let Some(old) = list.iter_mut().min_by_key(|h| h.at) {
+        } else if let Some(old) = list.iter_mut().min_by_key(|r| r.at) {
             *old = reported;
         }
     }
@@ -115,11 +115,11 @@
         let Some(list) = self.levels.get(service) else {
             return Level::OPEN;
         };
-        let fresh = list.iter().filter(|h| now.since(h.at) < STALE_AFTER);
-        let mut fresh: Vec<Level> = fresh.map(|h| h.level).collect();
+        let fresh = list.iter().filter(|r| now.since(r.at) < STALE_AFTER);
+        let mut fresh: Vec<Level> = fresh.map(|r| r.level).collect();
         if fresh.is_empty() {
-            let last = list.iter().max_by_key(|h| h.at);
-            return last.map_or(Level::OPEN, |h| reopened(h, now));
+            let last = list.iter().max_by_key(|r| r.at);
+            return last.map_or(Level::OPEN, |r| reopened(r, now));
         }
         fresh.sort();
         // Of an even number the higher median is taken: the load balancer can
@@ -173,9 +173,9 @@
     /// be forwarded to its own callers.
     pub fn reports(&self, now: Millis, service: &Service) -> Vec<Report> {
         let list = self.levels.get(service).map_or(&[][..], |list| list);
-        let fresh = list.iter().filter(|h| now.since(h.at) < STALE_AFTER);
+        let fresh = list.iter().filter(|r| now.since(r.at) < STALE_AFTER);
         let mut fresh: Vec<&ReportedLevel> = fresh.collect();
-        fresh.sort_by_key(|h| std::cmp::Reverse(h.at));
+        fresh.sort_by_key(|r| std::cmp::Reverse(r.at));
         fresh.truncate(MAX_FORWARDED_REPORTS);
         let report = |reported: &&ReportedLevel| Report {
             origin: reported.origin,
--- a/crates/walnutmoor-core/src/gate.rs
+++ b/crates/walnutmoor-core/src/gate.rs
@@ -121,7 +121,7 @@
 }
 
 /// The window over which the minimum response time is taken.
-const FASTEST_WINDOW: Millis = Millis(500);
+const RESPONSE_TIME_WINDOW: Millis = Millis(500);
 
 /// The minimum queue capacity.
 const MIN_QUEUE_CAPACITY: usize = 4;
@@ -136,8 +136,8 @@
     running: Map<CallId, Millis>,
     lingering: Vec<Millis>,
     usage: Usage,
-    hold: HoldTime,
-    fastest: Fastest,
+    hold_time: HoldTime,
+    min_response_time: MinResponseTime,
 }
 
 impl Gate {
@@ -151,8 +151,8 @@
             running: Map::default(),
             lingering: Vec::new(),
             usage: Usage::default(),
-            hold: HoldTime::default(),
-            fastest: Fastest::default(),
+            hold_time: HoldTime::default(),
+            min_response_time: MinResponseTime::default(),
         }
     }
 
@@ -186,8 +186,8 @@
     /// Returns how many calls per second the server can complete, by Little's
     /// law: its concurrency limit divided by the mean hold time.
     pub fn capacity(&self, warmup: f64) -> f64 {
-        let hold = self.hold.mean.max(1.0);
-        f64::from(self.allowed(warmup)) * 1000.0 / hold
+        let hold_time = self.hold_time.mean.max(1.0);
+        f64::from(self.allowed(warmup)) * 1000.0 / hold_time
     }
 
     fn has_room(&self, warmup: f64) -> bool {
@@ -235,11 +235,11 @@
     /// Returns how long a call may wait. A slow server frees its slots slowly,
     /// so the bound is at least the mean hold time.
     fn max_wait(&self) -> Millis {
-        self.config.max_wait.max(Millis(self.hold.mean as u64))
+        self.config.max_wait.max(Millis(self.hold_time.mean as u64))
     }
 
     fn misses_deadline(&self, now: Millis, deadline: Millis) -> bool {
-        now + self.fastest.get(now) >= deadline
+        now + self.min_response_time.get(now) >= deadline
     }
 
     fn start(&mut self, now: Millis, call: CallId) {
@@ -265,8 +265,8 @@
             Completion::Answered => {
                 let hold_time = now.since(started);
                 self.limit.record_completion(service_time);
-                self.fastest.add(now, hold_time);
-                self.hold.add(hold_time);
+                self.min_response_time.add(now, hold_time);
+                self.hold_time.add(hold_time);
             }
             Completion::Overloaded => self.limit.record_overload(now),
             Completion::Failed => {}
@@ -287,7 +287,7 @@
     pub fn advance(&mut self, now: Millis, warmup: f64, out: &mut Vec<Step>) {
         self.lingering.retain(|until| *until > now);
         let (max_wait, min_response_time) =
-            (self.max_wait(), self.fastest.get(now));
+            (self.max_wait(), self.min_response_time.get(now));
         while let Some(entry) =
             self.queue.expire(now, max_wait, min_response_time)
         {
@@ -315,10 +315,10 @@
         let utilization = (used / allowed).min(1.0);
         let expected = self.capacity(warmup) * window_secs * utilization;
         let age = self.age_p90(now);
-        self.hold.end_window(expected, age);
+        self.hold_time.end_window(expected, age);
         let sample = Sample {
             capacity: self.capacity(warmup),
-            hold_secs: self.hold.mean / 1_000.0,
+            hold_secs: self.hold_time.mean / 1_000.0,
             min_queued,
             utilization,
             window_secs,
@@ -344,7 +344,8 @@
         let linger = self.lingering.iter().min().copied();
         // The minimum response time as of the last response is close enough,
         // since windows are short.
-        let min_response_time = self.fastest.get(self.fastest.last_response);
+        let min_response_time =
+            self.min_response_time.get(self.min_response_time.last_response);
         let expiry =
             self.queue.next_expiry(self.max_wait(), min_response_time);
         [linger, expiry].into_iter().flatten().fold(window, Millis::min)
@@ -417,7 +418,7 @@
         let count = f64::from(self.count);
         if count >= (expected / 2.0).max(1.0) {
             let fresh = self.sum / count;
-            let weight = if self.mean == 0.0 { 1.0 } else { HOLD_WEIGHT };
+            let weight = if self.mean == 0.0 { 1.0 } else { HOLD_TIME_WEIGHT };
             self.mean += (fresh - self.mean) * weight;
         } else if expected >= 1.0 {
             self.mean = self.mean.max(age);
@@ -428,21 +429,21 @@
 }
 
 /// The weight of one window in the mean hold time.
-const HOLD_WEIGHT: f64 = 0.5;
+const HOLD_TIME_WEIGHT: f64 = 0.5;
 
 /// The minimum response time over the current and the previous window.
 #[derive(Debug, Default)]
-struct Fastest {
+struct MinResponseTime {
     current: Option<Millis>,
     previous: Option<Millis>,
     window_start: Millis,
     last_response: Millis,
 }
 
-impl Fastest {
+impl MinResponseTime {
     fn add(&mut self, now: Millis, response_time: Millis) {
         self.last_response = now;
-        if now.since(self.window_start) >= FASTEST_WINDOW {
+        if now.since(self.window_start) >= RESPONSE_TIME_WINDOW {
             self.previous = self.current.take();
             self.window_start = now;
         }
@@ -453,7 +454,9 @@
     /// Returns the minimum response time, or zero without recent responses: an
     /// outdated value could keep a recovered server from being tried.
     fn get(&self, now: Millis) -> Millis {
-        if now.since(self.last_response) > FASTEST_WINDOW + FASTEST_WINDOW {
+        if now.since(self.last_response)
+            > RESPONSE_TIME_WINDOW + RESPONSE_TIME_WINDOW
+        {
             return Millis(0);
         }
         let windows = [self.current, self.previous];
--- a/crates/walnutmoor-core/src/node/control.rs
+++ b/crates/walnutmoor-core/src/node/control.rs
@@ -375,9 +375,9 @@
         self.table = Table::new(&self.configuration);
         let revision = self.configuration.revision;
         self.stats.changes += revision.0.saturating_sub(before.0);
-        let was = self.in_force;
+        let was_in_force = self.in_force;
         self.try_enter_force(out);
-        if was {
+        if was_in_force {
             out.push(Action::Note(Note::InForce(revision)));
         }
     }
--- a/crates/walnutmoor-core/src/node/inbound.rs
+++ b/crates/walnutmoor-core/src/node/inbound.rs
@@ -419,26 +419,26 @@
     pub(super) fn announce(
         &mut self,
         now: Millis,
-        what: Announcement,
+        announcement: Announcement,
         out: &mut Vec<Action>,
     ) {
         if self.draining {
             return;
         }
-        let places = what.max_concurrency();
-        let changed = self.server.announced() != Some(&what);
-        let moved = self.server.announce(now, what);
+        let max_concurrency = announcement.max_concurrency();
+        let changed = self.server.announced() != Some(&announcement);
+        let state_changed = self.server.announce(now, announcement);
         match &mut self.gate {
-            Some(gate) => gate.set_max_concurrency(places),
+            Some(gate) => gate.set_max_concurrency(max_concurrency),
             None => {
                 let config = gate::Config::default()
                     .max_wait(self.config.queue_timeout)
                     .linger(self.config.linger)
                     .enforce(!self.observes());
-                self.gate = Some(Gate::new(config, places));
+                self.gate = Some(Gate::new(config, max_concurrency));
             }
         }
-        if moved || changed {
+        if state_changed || changed {
             self.advertise(now);
             self.note_server(out);
         }
--- a/crates/walnutmoor-core/src/node/issue.rs
+++ b/crates/walnutmoor-core/src/node/issue.rs
@@ -115,8 +115,8 @@
     fn fetch_stamps(&mut self, out: &mut Vec<Action>) {
         for _ in 0..STAMP_WITNESSES {
             let members = self.gossip.members();
-            let far = members.random_remote_peer(&mut self.rng);
-            let node = far.or_else(|| members.random_peer(&mut self.rng));
+            let remote = members.random_remote_peer(&mut self.rng);
+            let node = remote.or_else(|| members.random_peer(&mut self.rng));
             let Some(node) = node else { return };
             self.send_packet(node, Body::ClockRequest, out);
         }
