--- a/crates/walnutmoor/src/mesh/dispatch.rs
+++ b/crates/walnutmoor/src/mesh/dispatch.rs
@@ -278,7 +278,7 @@
             Reply::Answered { .. } => ("the instance failed", Kind::Broken),
             Reply::NotRun { kind, retry, .. } => {
                 self.rejection = Some((*kind, *retry));
-                ("rejected", *kind)
+                ("turned away", *kind)
             }
             Reply::Unknown(kind) => (kind.as_str(), *kind),
             Reply::Crashed(crash) => {
