--- a/crates/walnutmoor/src/command/node.rs
+++ b/crates/walnutmoor/src/command/node.rs
@@ -30,20 +30,20 @@
 
 /// State that the listeners and the forwarder share.
 struct Shared {
-    ring: InputSender,
-    calls: Arc<AtomicU64>,
+    inputs: InputSender,
+    call_counter: Arc<AtomicU64>,
     tokens: Arc<Tokens>,
-    body_max: usize,
+    max_body_bytes: usize,
     retries: u8,
 }
 
 impl Shared {
     fn context(&self) -> Context {
         Context {
-            inputs: self.ring.clone(),
-            call_counter: self.calls.clone(),
+            inputs: self.inputs.clone(),
+            call_counter: self.call_counter.clone(),
             tokens: self.tokens.clone(),
-            max_body_bytes: self.body_max,
+            max_body_bytes: self.max_body_bytes,
             retries: self.retries,
         }
     }
@@ -54,23 +54,23 @@
     telemetry::install_metrics()?;
     let started_at = Instant::now();
     let platform = Arc::new(platform(&settings));
-    let (ring, input) = driver::channel(settings.limits.ring);
+    let (inputs, receiver) = driver::channel(settings.limits.ring);
     let shared = Shared {
-        ring: ring.clone(),
-        calls: Arc::new(AtomicU64::new(1)),
+        inputs: inputs.clone(),
+        call_counter: Arc::new(AtomicU64::new(1)),
         tokens: Arc::default(),
-        body_max: settings.limits.body.0,
+        max_body_bytes: settings.limits.body.0,
         retries: settings.limits.retries,
     };
     let backend = start_echo(&settings)?;
-    let outlets = start_outlets(&settings, &shared, &platform, backend)?;
+    let outputs = start_outputs(&settings, &shared, &platform, backend)?;
     start_listeners(&settings, &shared, &platform)?;
-    start_signals(ring.clone())?;
+    start_signals(inputs.clone())?;
     let node = start_node(&settings, started_at);
     if let Some(server) = &settings.server {
         let event = Event::Announce(server.announcement());
-        // The ring is still empty, so it has room.
-        let _ = ring.try_send(Input::Event(Box::new(event)));
+        // The channel is still empty, so it has room.
+        let _ = inputs.try_send(Input::Event(Box::new(event)));
     }
     log::info!(
         "node {} in zone {}: callers {}, operators {}",
@@ -81,7 +81,7 @@
     );
     let thread = thread::Builder::new()
         .name("decide".to_string())
-        .spawn(move || driver::run(node, input, outlets, started_at))
+        .spawn(move || driver::run(node, receiver, outputs, started_at))
         .map_err(|e| {
             Failure::Internal(format!("cannot start thread `decide`: {e}"))
         })?;
@@ -152,7 +152,7 @@
 }
 
 /// Starts the threads that send calls, gossip and platform requests.
-fn start_outlets(
+fn start_outputs(
     settings: &Settings,
     shared: &Shared,
     platform: &Arc<Platform>,
@@ -163,18 +163,18 @@
     let (gossip_out, outbox) = mpsc::channel(capacity);
     let (platform_out, requests) = mpsc::channel(capacity);
     let setup = forward::Setup {
-        inputs: shared.ring.clone(),
+        inputs: shared.inputs.clone(),
         tokens: shared.tokens.clone(),
         backend,
-        max_body_bytes: shared.body_max,
+        max_body_bytes: shared.max_body_bytes,
     };
     worker::spawn("forward", || forward::run(setup, commands))?;
     let sockets = gossip::Sockets::open(NodeId(settings.node.address))?;
-    let ring = shared.ring.clone();
-    worker::spawn("gossip", || gossip::run(sockets, ring, outbox))?;
-    let (ring, platform) = (shared.ring.clone(), platform.clone());
+    let inputs = shared.inputs.clone();
+    worker::spawn("gossip", || gossip::run(sockets, inputs, outbox))?;
+    let (inputs, platform) = (shared.inputs.clone(), platform.clone());
     worker::spawn("platform", || {
-        platform_worker::run(platform, ring, requests)
+        platform_worker::run(platform, inputs, requests)
     })?;
     let (gossip, platform) = (gossip_out, platform_out);
     Ok(Outputs { forward, gossip, platform })
@@ -192,7 +192,7 @@
     let (context, address) = (shared.context(), settings.node.address);
     listener("peer", move || peer::start(context, address))?;
     let address = settings.operator.address;
-    let (inputs, platform) = (shared.ring.clone(), platform.clone());
+    let (inputs, platform) = (shared.inputs.clone(), platform.clone());
     let context = operator::Context { inputs, platform };
     listener("operator", move || operator::start(context, address))
 }
@@ -220,7 +220,7 @@
 }
 
 /// Drains the node on SIGTERM or SIGINT.
-fn start_signals(ring: InputSender) -> Result<(), Failure> {
+fn start_signals(inputs: InputSender) -> Result<(), Failure> {
     worker::spawn("signals", move || async move {
         use tokio::signal::unix::{SignalKind, signal};
         let Ok(mut term) = signal(SignalKind::terminate()) else { return };
@@ -230,6 +230,6 @@
             _ = int.recv() => {}
         }
         log::info!("received a stop signal: draining");
-        let _ = ring.send(Input::Drain);
+        let _ = inputs.send(Input::Drain);
     })
 }
--- a/crates/walnutmoor/src/http1/mod.rs
+++ b/crates/walnutmoor/src/http1/mod.rs
@@ -3,8 +3,8 @@
 
 A client may pipeline requests, so requests must be read independently of the
 responses that are written. [`Decoder`] turns bytes into requests, however the
-bytes are split, and [`encode`] turns a response into bytes. Neither performs
-I/O.
+bytes are split, and [`encode()`] turns a response into bytes. Neither
+performs I/O.
 
 Framing is strict, to rule out request smuggling: conflicting or repeated
 lengths, a length together with a transfer coding, bare line feeds, folded
--- a/crates/walnutmoor/src/lib.rs
+++ b/crates/walnutmoor/src/lib.rs
@@ -7,8 +7,8 @@
 To embed the control layer, use the core: the library target of this crate
 serves the binary and the tests.
 
-The tasks of the process run on threads that exchange messages over bounded
-ring buffers; see `docs/ARCHITECTURE.md`.
+The workers of a node run on threads that exchange messages over bounded
+channels; see `docs/ARCHITECTURE.md`.
 
 # Example
 
--- a/crates/walnutmoor/src/mesh/crash.rs
+++ b/crates/walnutmoor/src/mesh/crash.rs
@@ -57,7 +57,7 @@
 
 impl Detector {
     /// Records a run that ended without a response: its connection broke, or
-    /// it was cancelled.
+    /// it was canceled.
     pub(super) fn record_interrupted(
         &self,
         now: Millis,
--- a/crates/walnutmoor/src/mesh/journal.rs
+++ b/crates/walnutmoor/src/mesh/journal.rs
@@ -69,7 +69,7 @@
     Instance,
     /// The instance of this node has crashed while it ran these requests.
     Crash,
-    /// The suspicion of a request under which instances ended has changed.
+    /// The suspicion of a request that may crash instances has changed.
     Suspicion,
     /// A request was answered by an instance.
     Answered,
--- a/crates/walnutmoor/src/mesh/quotas.rs
+++ b/crates/walnutmoor/src/mesh/quotas.rs
@@ -4,7 +4,7 @@
 [`walnutmoor_core::quota`] makes the decisions; this module sends requests for
 leases to allocators, and holds callers' requests until they are answered. A
 held request has not been admitted, so if the allocator fails, its caller can
-be reported_size that it did not run.
+be told that it did not run.
 */
 
 use std::{
@@ -372,7 +372,7 @@
     }
 
     /// Updates the view of the fleet from the links. `paused` is true if this
-    /// process was suspended since the last_request update.
+    /// process was suspended since the last update.
     pub(super) fn update_fleet(&self, paused: bool) {
         let now = self.now();
         let quotas = &self.quotas;
--- a/crates/walnutmoor/src/mesh/store.rs
+++ b/crates/walnutmoor/src/mesh/store.rs
@@ -35,17 +35,17 @@
 use super::{journal::Event, state::State};
 
 /// Backoff after the first failed call.
-const BACKOFF_MIN: Millis = Millis(100);
+const MIN_BACKOFF: Millis = Millis(100);
 
 /// Maximum backoff between failed calls, and so the delay until a recovered
 /// store is noticed.
-const BACKOFF_MAX: Millis = Millis(800);
+const MAX_BACKOFF: Millis = Millis(800);
 
 /// Waits before a restored store is read again. All watchers read it at the
 /// same time, and a store that answers with alternating eras must not cause a
 /// busy loop.
 async fn wait_before_resync(state: &State) {
-    let delay = state.jitter(BACKOFF_MIN);
+    let delay = state.jitter(MIN_BACKOFF);
     sleep(Duration::from_millis(delay.0)).await;
 }
 
@@ -59,11 +59,11 @@
 
 impl Backoff {
     fn new(task: &'static str) -> Backoff {
-        Backoff { task, is_failing: false, delay: BACKOFF_MIN }
+        Backoff { task, is_failing: false, delay: MIN_BACKOFF }
     }
 
     fn on_success(&mut self, state: &State) {
-        self.delay = BACKOFF_MIN;
+        self.delay = MIN_BACKOFF;
         if std::mem::take(&mut self.is_failing) {
             let fields = [("store", self.task.into())];
             state.journal.log_event(state.now(), Event::Regained, &fields);
@@ -77,7 +77,7 @@
             state.journal.log_event(state.now(), Event::Lost, &fields);
         }
         let delay = state.jitter(self.delay);
-        self.delay = Millis(self.delay.0 * 2).min(BACKOFF_MAX);
+        self.delay = Millis(self.delay.0 * 2).min(MAX_BACKOFF);
         sleep(Duration::from_millis(delay.0)).await;
     }
 }
--- a/crates/walnutmoor/src/mesh/store/directory.rs
+++ b/crates/walnutmoor/src/mesh/store/directory.rs
@@ -18,7 +18,7 @@
 use walnutmoor_platform::store::{self, Kind, Object};
 
 use super::{
-    BACKOFF_MAX, Backoff,
+    Backoff, MAX_BACKOFF,
     client::{CALL_TIMEOUT, Client, Error, Response},
 };
 use crate::mesh::{
@@ -28,7 +28,7 @@
 
 /// Minimum interval between polls of the directory, randomized by half of it
 /// either way. It bounds the delay until a missed or removed node is noticed.
-const POLL_INTERVAL_MIN: Millis = Millis(15_000);
+const MIN_POLL_INTERVAL: Millis = Millis(15_000);
 
 /// Poll interval per record in the directory, so that the read rate of a node
 /// does not grow with the fleet.
@@ -36,10 +36,10 @@
 
 /// Maximum uptime of a node that checks its record early after a restore. A
 /// restored copy lacks only recent writes.
-const RECENT_UPTIME_MAX: Millis = Millis(60_000);
+const MAX_RECENT_UPTIME: Millis = Millis(60_000);
 
 /// Minimum window over which the nodes spread the check of their records.
-const CHECK_WINDOW_MIN: Millis = Millis(1_000);
+const MIN_CHECK_WINDOW: Millis = Millis(1_000);
 
 /// Time in addition to the check window after which a node that has not
 /// written its record again counts as gone.
@@ -81,8 +81,8 @@
                 is_registered = sync_links(&state, &objects);
                 let interval =
                     Millis(POLL_INTERVAL_PER_RECORD.0 * objects.len() as u64)
-                        .max(POLL_INTERVAL_MIN);
-                let pause = if is_registered { interval } else { BACKOFF_MAX };
+                        .max(MIN_POLL_INTERVAL);
+                let pause = if is_registered { interval } else { MAX_BACKOFF };
                 // The store would close a connection that is idle for the
                 // interval.
                 client.disconnect();
@@ -129,11 +129,11 @@
 /// Recently started nodes check first, as theirs are the records most likely
 /// lost.
 fn check_window(state: &State) -> Millis {
-    if state.now() < RECENT_UPTIME_MAX {
-        return CHECK_WINDOW_MIN;
+    if state.now() < MAX_RECENT_UPTIME {
+        return MIN_CHECK_WINDOW;
     }
     let fleet = state.quotas.fleet_size() as u64;
-    Millis(fleet * 1_000 / CHECKS_PER_SECOND).max(CHECK_WINDOW_MIN)
+    Millis(fleet * 1_000 / CHECKS_PER_SECOND).max(MIN_CHECK_WINDOW)
 }
 
 /// True if the store confirms that it holds the record of this node.
--- a/crates/walnutmoor/src/mesh/store/suspects.rs
+++ b/crates/walnutmoor/src/mesh/store/suspects.rs
@@ -1,11 +1,11 @@
 /*!
-Requests suspected of ending instances, as persisted in the store.
+Requests suspected of crashing instances, as persisted in the store.
 
 Links carry this evidence within milliseconds. The store serves nodes that no
 link reaches and nodes that start later, also if all nodes restart at once. It
 holds one object per suspected request. A request is written only after two
-instances have ended under it, so there are few. The nodes that watch the
-desired state watch these objects too, and tell the other nodes.
+instances have crashed while running it, so there are few. The nodes that
+watch the desired state watch these objects too, and inform the other nodes.
 */
 
 use std::{rc::Rc, time::Duration};
@@ -130,11 +130,11 @@
 ) -> Result<Stamp, Error> {
     let read = Read::Watch { since: since.revision, wait: WATCH_TIMEOUT };
     let response = client.read(Kind::Suspect, &read).await?;
-    let update = store::events(&response.body)?;
+    let events = store::events(&response.body)?;
     if response.era != since.era {
         return Err(Error::Restored);
     }
-    let written = update.changes.into_iter().filter(|change| !change.removed);
+    let written = events.changes.into_iter().filter(|change| !change.removed);
     let objects: Vec<Object> = written.map(|change| change.object).collect();
     objects.iter().for_each(|object| record(state, object));
     if is_recently_restored(state) {
@@ -143,7 +143,7 @@
             changed.is_some_and(|object| !covers(object, evidence))
         });
     }
-    Ok(Stamp { era: response.era, revision: update.revision })
+    Ok(Stamp { era: response.era, revision: events.revision })
 }
 
 fn record(state: &Rc<State>, object: &Object) {
@@ -158,7 +158,7 @@
     }
 }
 
-/// Writes the evidence of this node to the store, and removes lapsed objects
+/// Writes the evidence of this node to the store, and removes expired objects
 /// from it.
 pub async fn write_suspects(state: Rc<State>) {
     let mut client = Client::new(&state);
@@ -196,7 +196,7 @@
     for _ in 0..MAX_WRITE_ATTEMPTS {
         let (objects, _) = read_all(state, client).await?;
         let existing = objects.iter().find(|object| object.name == name);
-        // The evidence may have lapsed meanwhile.
+        // The evidence may have expired meanwhile.
         let Some(evidence) = state.evidence(request) else {
             return Ok(());
         };
--- a/crates/walnutmoor/src/mesh/store/watch.rs
+++ b/crates/walnutmoor/src/mesh/store/watch.rs
@@ -120,16 +120,16 @@
 ) -> Result<Stamp, Error> {
     let read = Read::Watch { since: since.revision, wait: WATCH_TIMEOUT };
     let response = client.read(Kind::Desired, &read).await?;
-    let update = store::events(&response.body)?;
+    let events = store::events(&response.body)?;
     let era = response.era;
     if era != since.era {
         return Err(Error::Restored);
     }
-    let written = update.changes.iter().filter(|change| !change.removed);
+    let written = events.changes.iter().filter(|change| !change.removed);
     written
         .filter(|change| store::is_desired(&change.object))
         .for_each(|change| adopt(state, era, &change.object));
-    Ok(Stamp { era, revision: update.revision })
+    Ok(Stamp { era, revision: events.revision })
 }
 
 /// True if this node has no desired state yet, or is a watcher.
--- a/crates/walnutmoor/src/settings.rs
+++ b/crates/walnutmoor/src/settings.rs
@@ -216,7 +216,7 @@
     pub tickets: usize,
     /// Marks and tombstones that the node keeps as a witness.
     pub marks: usize,
-    /// Messages in each ring buffer between threads.
+    /// Messages in each channel between threads.
     pub ring: usize,
     /// The size of one body.
     pub body: Size,
--- a/crates/walnutmoor/tests/mesh/faults.rs
+++ b/crates/walnutmoor/tests/mesh/faults.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn orders_run_at_most_once_whatever_happens_to_their_answers() {
-    let moods = [
+    let behaviors = [
         Behavior::DropsResponses,
         Behavior::TruncatesResponses,
         Behavior::RespondsTwice,
@@ -35,9 +35,9 @@
     ];
     run(async {
         let world = World::start(&["front", "desk", "desk"]).await;
-        for mood in moods {
-            world.pairs[1].instance.set_behavior(mood);
-            send_orders(&world, &format!("{mood:?}"), 10).await;
+        for behavior in behaviors {
+            world.pairs[1].instance.set_behavior(behavior);
+            send_orders(&world, &format!("{behavior:?}"), 10).await;
         }
     });
 }
@@ -62,10 +62,12 @@
 fn a_truncated_or_unsigned_answer_becomes_an_error() {
     run(async {
         let world = World::start(&["front", "desk"]).await;
-        for mood in [Behavior::TruncatesResponses, Behavior::OmitsSignature] {
-            world.pairs[1].instance.set_behavior(mood);
+        for behavior in
+            [Behavior::TruncatesResponses, Behavior::OmitsSignature]
+        {
+            world.pairs[1].instance.set_behavior(behavior);
             for n in 0..5 {
-                let id = format!("{mood:?}-{n}");
+                let id = format!("{behavior:?}-{n}");
                 let answer = world.send(0, "browse", &id).await.unwrap();
                 assert!(answer.status >= 500, "{}", answer.status);
             }
