--- a/crates/walnutmoor-standin/src/lib.rs
+++ b/crates/walnutmoor-standin/src/lib.rs
@@ -1,6 +1,6 @@
 /*!
-Test doubles, load generation and measuring runs for walnutmoor. This crate is
-not published.
+Stand-ins, load generation and measuring runs for walnutmoor. This crate is not
+published.
 
 - [`platform`] is an object API over HTTP with fault injection.
 - [`backend`] is a simulated backend server with slots, service times and
--- a/crates/walnutmoor-standin/src/main.rs
+++ b/crates/walnutmoor-standin/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the test doubles: measuring runs, recorded sessions,
+//! The command line of the stand-ins: measuring runs, recorded sessions,
 //! soak runs and the daemon itself.
 
 use std::{io, process::ExitCode};
@@ -13,7 +13,7 @@
 };
 
 const HELP: &str = "\
-walnutmoor-standin: test doubles and measuring runs for walnutmoor
+walnutmoor-standin: stand-ins and measuring runs for walnutmoor
 
   measure SCENARIO --topology association|division
       [--mode enforce|observe] [--seed N] [--seconds N] [--trace]
@@ -153,13 +153,13 @@
 
 fn print_report(report: &soak::Report) {
     let soak::Report { seed, faults, status_counts, .. } = report;
-    let ends: Vec<String> = status_counts
+    let counts: Vec<String> = status_counts
         .iter()
         .map(|(status, n)| format!("{status}: {n}"))
         .collect();
-    println!("seed {seed}: {faults} faults; {}", ends.join(", "));
-    for breach in &report.violations {
-        println!("  broken: {breach}");
+    println!("seed {seed}: {faults} faults; {}", counts.join(", "));
+    for violation in &report.violations {
+        println!("  broken: {violation}");
     }
 }
 
--- a/crates/walnutmoor-standin/src/measure/world.rs
+++ b/crates/walnutmoor-standin/src/measure/world.rs
@@ -1,4 +1,4 @@
-//! The node processes and test doubles of a measuring run.
+//! The node processes and stand-ins of a measuring run.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
--- a/crates/walnutmoor-standin/src/oracle.rs
+++ b/crates/walnutmoor-standin/src/oracle.rs
@@ -1,6 +1,6 @@
 /*!
 The oracle counts the calls that backend servers ran, by attempt and by
-request, independently of what callers were told.
+request, independently of what callers observed.
 */
 
 use std::{collections::HashMap, sync::Mutex};
--- a/crates/walnutmoor/src/command/operate.rs
+++ b/crates/walnutmoor/src/command/operate.rs
@@ -99,8 +99,8 @@
 }
 
 fn print_class(class: &ClassView) {
-    let (name, wanted) = (&class.name, &class.spec);
-    let (kind, target) = (wanted.kind, &wanted.target);
+    let (name, spec) = (&class.name, &class.spec);
+    let (kind, target) = (spec.kind, &spec.target);
     let within = target.within.0;
     println!("{name:<24} {kind:<9} {} within {within}", target.share);
 }
@@ -186,8 +186,8 @@
     let share = required(&matches, "share")?.parse()?;
     let kind = required(&matches, "kind")?.parse()?;
     let within = crate::settings::Span(within);
-    let wanted = ClassSpec { kind, target: TargetSpec { share, within } };
-    let body = serde_json::to_string(&wanted).expect("a class encodes");
+    let spec = ClassSpec { kind, target: TargetSpec { share, within } };
+    let body = serde_json::to_string(&spec).expect("a class encodes");
     change(&matches, Method::PUT, body)
 }
 
--- a/crates/walnutmoor/src/failure.rs
+++ b/crates/walnutmoor/src/failure.rs
@@ -1,8 +1,8 @@
 /*!
 Errors of commands, with their diagnostics and exit codes.
 
-Scripts can tell the kinds apart by [`Failure::exit_code`], such as an invalid
-settings file and an unreachable node.
+Scripts distinguish the kinds, such as an invalid settings file and an
+unreachable node, by [`Failure::exit_code`].
 */
 
 use miette::{Diagnostic, NamedSource, SourceSpan};
--- a/crates/walnutmoor/src/mesh/link.rs
+++ b/crates/walnutmoor/src/mesh/link.rs
@@ -188,8 +188,8 @@
     }
 
     /// Sends due pings and detects a suspect or dead link. Called at about
-    /// every [`CHECK_INTERVAL`]; `paused` tells that this process was stopped
-    /// since the last call.
+    /// every [`CHECK_INTERVAL`]; `paused` is true if this process was
+    /// suspended since the last call.
     pub fn check(
         &self,
         state: &State,
--- a/crates/walnutmoor/src/mesh/link/carrier.rs
+++ b/crates/walnutmoor/src/mesh/link/carrier.rs
@@ -167,8 +167,8 @@
     let (outgoing, frames) = unbounded_channel();
     let ids: Vec<CallId> = link.pending.borrow().keys().copied().collect();
     if !ids.is_empty() {
-        // Must precede all new calls: the peer tells calls that it never
-        // received by their greater numbers.
+        // Must precede all new calls: the peer recognizes calls that it
+        // never received by their greater numbers.
         let _ = outgoing.send(Frame::Query(ids));
     }
     // A restarted peer must not use an instance that has announced its
--- a/crates/walnutmoor/src/mesh/run.rs
+++ b/crates/walnutmoor/src/mesh/run.rs
@@ -89,7 +89,7 @@
     footprint.add_with_state(Key::of(service), ended.since(now), budget_state);
     let crash = crash.filter(|_| !state.has_recent_success(fingerprint));
     let reply = match crash {
-        // Lets the sender tell a crash from a broken connection.
+        // Lets the sender distinguish a crash from a broken connection.
         Some(crash) => Reply::Crashed(crash),
         None => reply(&state, outcome, footprint),
     };
--- a/crates/walnutmoor/src/mesh/state.rs
+++ b/crates/walnutmoor/src/mesh/state.rs
@@ -40,8 +40,8 @@
 pub enum Phase {
     /// The node is in service.
     Serving,
-    /// The node was told to exit and reports that it is not ready; new
-    /// requests are still served.
+    /// The node received the signal to exit and reports that it is not ready;
+    /// new requests are still served.
     Leaving,
     /// New requests are refused; those in flight are finished.
     Finishing,
@@ -197,7 +197,7 @@
     }
 
     /// Announces to every linked node that the local instance has departed,
-    /// so that they can tell this node after a restart.
+    /// so that they can report it to this node after a restart.
     pub fn broadcast_departure(&self, instance: &Lifetime) {
         for link in self.links() {
             link.send(Frame::Departed(instance.clone()));
--- a/crates/walnutmoor/src/mesh/suspicion.rs
+++ b/crates/walnutmoor/src/mesh/suspicion.rs
@@ -2,7 +2,7 @@
 Tracks requests suspected of crashing instances, and shares the evidence.
 
 `walnutmoor_core::poison` evaluates the evidence; this module distributes it.
-Evidence travels on three paths, since each may be cut: with the request
+Evidence travels on three paths, since each may fail: with the request
 itself, in the reply to the sending node and in its next attempt; over all
 links, when it changes and whenever a link opens; and, from the second crash
 on, through the store, for nodes that are unreachable over links or have just
--- a/crates/walnutmoor/src/telemetry.rs
+++ b/crates/walnutmoor/src/telemetry.rs
@@ -137,7 +137,7 @@
 /// Updates the metrics from the state of a mesh node.
 pub fn publish_mesh(state: &mesh::state::State) {
     let (running, waiting) = state.serve.job_counts();
-    let (dealt, asked) = state.quotas.account_counts();
+    let (granted, held) = state.quotas.account_counts();
     let edition = state.edition();
     let gauges = [
         ("walnutmoor_running", running),
@@ -146,8 +146,8 @@
         ("walnutmoor_held_bytes", state.buffered_bytes.get()),
         ("walnutmoor_links", state.links().len()),
         ("walnutmoor_suspects", state.suspects()),
-        ("walnutmoor_quotas_dealt", dealt),
-        ("walnutmoor_quotas_asked", asked),
+        ("walnutmoor_quotas_dealt", granted),
+        ("walnutmoor_quotas_asked", held),
         ("walnutmoor_version", edition.version.0 as usize),
         ("walnutmoor_era", edition.stamp.era.0 as usize),
         ("walnutmoor_revision", edition.stamp.revision.0 as usize),
--- a/crates/walnutmoor/src/worker/peer.rs
+++ b/crates/walnutmoor/src/worker/peer.rs
@@ -99,7 +99,7 @@
 }
 
 /// Converts a completion to an answer with a trailer. The trailer contains the
-/// refusal, so that the peer can tell it from the answer of a backend server.
+/// refusal, which distinguishes it from an answer of a backend server.
 fn into_answer(completion: Completion) -> Answer {
     let mut trailer = completion.trailer.unwrap_or_default();
     let mut answer = match completion.result {
--- a/crates/walnutmoor/tests/mesh/accounts.rs
+++ b/crates/walnutmoor/tests/mesh/accounts.rs
@@ -72,7 +72,7 @@
     attempt: &str,
     lines: &[(&str, &str)],
 ) -> Response {
-    let at = world.pairs[index].node.addresses().callers;
+    let address = world.pairs[index].node.addresses().callers;
     let path = format!("/{route}/x");
     let mut text =
         format_request(Method::POST, &path, &headers(attempt, 5_000), "b");
@@ -82,7 +82,7 @@
     }
     let head_start = text.find("\r\n").unwrap() + 2;
     text.insert_str(head_start, &added);
-    caller::send_raw(at, &text).await.unwrap()
+    caller::send_raw(address, &text).await.unwrap()
 }
 
 fn key(key: &str) -> [(&'static str, &str); 1] {
@@ -165,8 +165,8 @@
         let world = world().await;
         let desk = &world.pairs[1].instance;
         desk.hold("parent");
-        let at = world.pairs[1].node.addresses().callers;
-        let mut caller = Connection::open(at).await.unwrap();
+        let address = world.pairs[1].node.addresses().callers;
+        let mut caller = Connection::open(address).await.unwrap();
         let name = header::KEY;
         let mut with_key = headers("parent", 20_000);
         with_key.push((name, KEY.into()));
@@ -196,8 +196,8 @@
 fn a_removed_key_is_refused_on_open_connections() {
     run(async {
         let world = world().await;
-        let at = world.pairs[0].node.addresses().callers;
-        let mut caller = Connection::open(at).await.unwrap();
+        let address = world.pairs[0].node.addresses().callers;
+        let mut caller = Connection::open(address).await.unwrap();
         let request = |attempt: &str, key: &str| {
             let mut all = headers(attempt, 20_000);
             all.push((header::KEY, key.into()));
@@ -252,9 +252,9 @@
 
         let answer = send(&world, 0, "order", "still", &key(KEY)).await;
         assert_eq!(answer.status, 200);
-        let at = world.pairs[0].node.addresses().metrics;
+        let address = world.pairs[0].node.addresses().metrics;
         let metrics =
-            caller::send(at, Method::GET, "/metrics", &[], String::new());
+            caller::send(address, Method::GET, "/metrics", &[], String::new());
         let metrics = metrics.await.unwrap().body;
         assert!(metrics.contains("walnutmoor_desired_refused_total"));
     });
@@ -282,9 +282,14 @@
         .await;
 
         for pair in &world.pairs {
-            let at = pair.node.addresses().metrics;
-            let metrics =
-                caller::send(at, Method::GET, "/metrics", &[], String::new());
+            let address = pair.node.addresses().metrics;
+            let metrics = caller::send(
+                address,
+                Method::GET,
+                "/metrics",
+                &[],
+                String::new(),
+            );
             texts.push(metrics.await.unwrap().body);
             // Request lines show ids, which are chosen by callers.
             let log = pair.node.log();
--- a/crates/walnutmoor/tests/mesh/crash_log.rs
+++ b/crates/walnutmoor/tests/mesh/crash_log.rs
@@ -45,9 +45,9 @@
     run(async {
         let world = World::start(&["front", "desk"]).await;
         let desk = &world.pairs[1];
-        let loses_answers =
+        let drops_responses =
             walnutmoor_standin::mesh::instance::Behavior::DropsResponses;
-        desk.instance.set_behavior(loses_answers);
+        desk.instance.set_behavior(drops_responses);
         world.send(0, "browse", "lost").await;
         desk.instance.drain().await;
         desk.instance.stop();
--- a/crates/walnutmoor/tests/mesh/desired.rs
+++ b/crates/walnutmoor/tests/mesh/desired.rs
@@ -18,8 +18,8 @@
             world
                 .send_until_ok(index, "search", &format!("new-{index}"))
                 .await;
-            let gone = world.send(index, "browse", "old").await.unwrap();
-            assert_eq!(gone.status, 404);
+            let answer = world.send(index, "browse", "old").await.unwrap();
+            assert_eq!(answer.status, 404);
         }
     });
 }
--- a/crates/walnutmoor/tests/mesh/poison.rs
+++ b/crates/walnutmoor/tests/mesh/poison.rs
@@ -304,7 +304,7 @@
         until_recovered(&world).await;
         world.store.set_down(true);
         world.pairs[2].node.restart();
-        until("it has heard", || async {
+        until("the log says that it is barred", || async {
             world.pairs[2].node.log().contains("is barred")
         })
         .await;
--- a/crates/walnutmoor/tests/mesh/restore.rs
+++ b/crates/walnutmoor/tests/mesh/restore.rs
@@ -39,14 +39,14 @@
 fn a_change_after_a_restore_is_adopted_by_all_nodes() {
     run(async {
         let world = World::start(&["front", "desk", "desk"]).await;
-        let copy = world.store.snapshot();
+        let snapshot = world.store.snapshot();
         for version in [2, 5, 7] {
             write(&world, version);
             wait_until_active(&world, version).await;
         }
 
         world.store.set_down(true);
-        world.store.restore(&copy, PendingWatches::Disconnect);
+        world.store.restore(&snapshot, PendingWatches::Disconnect);
         world.store.set_down(false);
         write(&world, 7);
         write(&world, 9);
@@ -78,10 +78,10 @@
 fn a_node_that_starts_after_a_restore_adopts_only_the_state_of_its_peers() {
     run(async {
         let mut world = World::start(&["front", "desk", "desk"]).await;
-        let copy = world.store.snapshot();
+        let snapshot = world.store.snapshot();
         write(&world, 7);
         wait_until_active(&world, 7).await;
-        world.store.restore(&copy, PendingWatches::Disconnect);
+        world.store.restore(&snapshot, PendingWatches::Disconnect);
 
         world.pairs[0].node.restart();
         until("the restarted node has a desired state", || async {
@@ -98,10 +98,10 @@
 fn nodes_that_all_start_after_a_restore_adopt_the_copy_and_then_the_change() {
     run(async {
         let mut world = World::start(&["front", "desk"]).await;
-        let copy = world.store.snapshot();
+        let snapshot = world.store.snapshot();
         write(&world, 7);
         wait_until_active(&world, 7).await;
-        world.store.restore(&copy, PendingWatches::Disconnect);
+        world.store.restore(&snapshot, PendingWatches::Disconnect);
         world.pairs.iter_mut().for_each(|pair| pair.node.restart());
         world.send_until_ok(0, "browse", "by-the-copy").await;
 
@@ -117,7 +117,7 @@
 fn a_watch_that_outlives_a_restore_misses_no_change() {
     run(async {
         let mut world = World::start(&["front", "desk", "desk"]).await;
-        let copy = world.store.snapshot();
+        let snapshot = world.store.snapshot();
         for version in [2, 5, 7] {
             write(&world, version);
             wait_until_active(&world, version).await;
@@ -126,7 +126,7 @@
         until("two nodes watch", || async { idle().count() == 1 }).await;
         let idle_node = idle().next().unwrap();
 
-        world.store.restore(&copy, PendingWatches::Hang);
+        world.store.restore(&snapshot, PendingWatches::Hang);
         // The restarted node reads the store once and does not watch; the two
         // watchers still wait on the old revision.
         world.pairs[idle_node].node.restart();
@@ -168,12 +168,12 @@
 fn records_lost_in_a_restore_are_written_again() {
     run(async {
         let mut world = World::start(&["front"]).await;
-        let copy = world.store.snapshot();
+        let snapshot = world.store.snapshot();
         world.add("desk").await;
         world.add("desk").await;
         world.wait_until_connected().await;
 
-        world.store.restore(&copy, PendingWatches::Disconnect);
+        world.store.restore(&snapshot, PendingWatches::Disconnect);
 
         until("all are listed", || async { world.store.nodes().len() == 3 })
             .await;
@@ -193,7 +193,7 @@
 fn a_node_whose_record_is_lost_in_a_restore_is_not_removed() {
     run(async {
         let mut world = World::start(&["front"]).await;
-        let copy = world.store.snapshot();
+        let snapshot = world.store.snapshot();
         world.add("desk").await;
         world.add("desk").await;
         world.wait_until_connected().await;
@@ -206,7 +206,7 @@
         })
         .await;
 
-        world.store.restore(&copy, PendingWatches::Disconnect);
+        world.store.restore(&snapshot, PendingWatches::Disconnect);
         until("the other node registers again", || async {
             has_registered_again(&world, 1)
         })
