--- a/crates/walnutmoor/src/mesh/journal.rs
+++ b/crates/walnutmoor/src/mesh/journal.rs
@@ -236,12 +236,12 @@
             }
             _ => self.request_lines.get() < REQUEST_LINES_PER_SECOND,
         };
-        let room =
+        let has_room =
             self.queue.borrow().is_some() && (is_new_second || within_limit);
-        if !room {
+        if !has_room {
             self.dropped.borrow_mut()[event.index()] += 1;
         }
-        room
+        has_room
     }
 
     /// Writes the queued lines and ends the writer thread.
--- a/crates/walnutmoor/tests/mesh/poison.rs
+++ b/crates/walnutmoor/tests/mesh/poison.rs
@@ -244,7 +244,7 @@
 fn barred_requests_are_written_again_to_a_restored_store() {
     run(async {
         let mut world = crashing_world().await;
-        let copy = world.store.snapshot();
+        let snapshot = world.store.snapshot();
         until_three_crashes(&world).await;
         until_barred(&world, "known", CRASHING_BODY, 1).await;
         until("the store keeps it", || async {
@@ -253,7 +253,7 @@
         .await;
         until_recovered(&world).await;
 
-        world.store.restore(&copy, PendingWatches::Disconnect);
+        world.store.restore(&snapshot, PendingWatches::Disconnect);
         until("the store keeps it again", || async {
             world.store.suspects().len() == 1
         })
