--- a/crates/walnutmoor-core/src/node/completion.rs
+++ b/crates/walnutmoor-core/src/node/completion.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Action, Core,
-    outbound::{ATTEMPTS_MAX, DEADLINE_MARGIN, Outbound, Phase},
+    outbound::{DEADLINE_MARGIN, MAX_ATTEMPTS, Outbound, Phase},
 };
 use crate::{
     call::{Reply, Role, Trailer, is_error},
@@ -28,14 +28,14 @@
         match reply {
             Reply::Complete { status, size, trailer } => {
                 let succeeded = !is_error(status);
-                self.router.answered(now, to, trailer.load, succeeded);
+                self.picker.answered(now, to, trailer.load, succeeded);
                 self.apply_trailer(now, call, &trailer);
                 self.complete(now, call, succeeded, size, out);
             }
             Reply::Refused { refusal, trailer } => {
-                self.router.answered(now, to, trailer.load, true);
+                self.picker.answered(now, to, trailer.load, true);
                 if refusal.kind == Kind::Leaving {
-                    self.router.failed(now, to);
+                    self.picker.failed(now, to);
                 }
                 self.apply_trailer(now, call, &trailer);
                 match refusal.allows_transparent_retry() && !relayed {
@@ -44,19 +44,19 @@
                 }
             }
             Reply::Unreachable if relayed => {
-                self.router.failed(now, to);
+                self.picker.failed(now, to);
                 self.ask_witness(now, call, out);
             }
             Reply::Unreachable => {
                 outbound.budget.give_back(outbound.envelope.budget.left());
-                self.router.failed(now, to);
+                self.picker.failed(now, to);
                 let refusal = Refusal::new(Kind::Unreachable, Ran::No);
                 let wait = self.jitter(Millis(500));
                 let refusal = refusal.retry_after(wait);
                 self.try_next_server(now, call, refusal, out);
             }
             Reply::Broken => {
-                self.router.failed(now, to);
+                self.picker.failed(now, to);
                 self.connection_lost(now, call, relayed, out);
             }
         }
@@ -98,7 +98,7 @@
         let free_retry =
             !std::mem::replace(&mut outbound.free_retry_used, true);
         let expiring = outbound.deadline.since(now) <= DEADLINE_MARGIN;
-        if expiring || outbound.tried.len() >= ATTEMPTS_MAX {
+        if expiring || outbound.tried.len() >= MAX_ATTEMPTS {
             self.fail_outbound(now, call, refusal, out);
         } else if free_retry {
             self.stats.moved += 1;
@@ -111,18 +111,18 @@
         }
     }
 
-    /// Spends a retry of the request's budget and of the service pair's share.
+    /// Spends a retry from the request's budget and from the retry limiter.
     fn try_spend_retry(&mut self, call: CallId) -> bool {
         let Some(outbound) = self.outbound.get_mut(&call) else {
             return false;
         };
-        if outbound.tried.len() >= ATTEMPTS_MAX {
+        if outbound.tried.len() >= MAX_ATTEMPTS {
             return false;
         }
         let (from, to) =
             (outbound.envelope.from.clone(), &outbound.envelope.service);
-        let share = self.share.try_retry(from.as_ref(), to);
-        share && outbound.budget.spend()
+        let is_allowed = self.retry_limiter.try_retry(from.as_ref(), to);
+        is_allowed && outbound.budget.spend()
     }
 
     /// Applies the levels, path and unspent retries of a trailer.
@@ -262,7 +262,7 @@
             return;
         }
         if let Some(to) = outbound.to {
-            self.router.abandoned(to);
+            self.picker.abandoned(to);
             out.push(Action::Abort { call });
         }
         let refusal = Refusal::new(Kind::Canceled, Ran::Unknown);
@@ -297,7 +297,7 @@
             return;
         }
         if let Some(to) = outbound.to {
-            self.router.abandoned(to);
+            self.picker.abandoned(to);
             out.push(Action::Abort { call });
         }
         self.fail_outbound(now, call, refusal, out);
--- a/crates/walnutmoor-core/src/node/control.rs
+++ b/crates/walnutmoor-core/src/node/control.rs
@@ -53,10 +53,10 @@
 const PUSH_FANOUT: usize = 4;
 
 /// The first backoff after a platform failure; it doubles with each failure.
-const BACKOFF_MIN: Millis = Millis(250);
+const MIN_BACKOFF: Millis = Millis(250);
 
 /// The longest backoff after platform failures.
-const BACKOFF_MAX: Millis = Millis(4_000);
+const MAX_BACKOFF: Millis = Millis(4_000);
 
 /// The mean interval of contact checks by the maintainers of a zone.
 const CONTACTS_CHECK_INTERVAL: Millis = Millis(10_000);
@@ -80,7 +80,7 @@
             watched_version: None,
             watching: false,
             resume_at: Millis(0),
-            backoff: BACKOFF_MIN,
+            backoff: MIN_BACKOFF,
             platform_up: true,
             contacts: Vec::new(),
             last_join: None,
@@ -134,8 +134,9 @@
         let gossip =
             gossip.max(self.control.last_gossip_tick + GOSSIP_TICK_INTERVAL);
         let proposer = self.proposer.next_wake().unwrap_or(Millis::NEVER);
-        let steady = self.control.last_gossip_tick + member::PROBE_INTERVAL;
-        gossip.min(proposer).min(steady)
+        let latest_tick =
+            self.control.last_gossip_tick + member::PROBE_INTERVAL;
+        gossip.min(proposer).min(latest_tick)
     }
 
     pub(super) fn tick_control(&mut self, now: Millis, out: &mut Vec<Action>) {
@@ -176,7 +177,7 @@
                 member::Event::Up(node) => Note::Up(node),
                 member::Event::Down(node) => Note::Down(node),
                 member::Event::Restarted(node) => {
-                    self.router.restarted(node);
+                    self.picker.restarted(node);
                     continue;
                 }
             };
@@ -291,10 +292,10 @@
     /// Updates the backoff and logs a change of the platform's reachability.
     fn note_platform(&mut self, now: Millis, up: bool, out: &mut Vec<Action>) {
         if up {
-            self.control.backoff = BACKOFF_MIN;
+            self.control.backoff = MIN_BACKOFF;
         } else {
             let pause = self.control.backoff;
-            let longer = Millis(pause.0 * 2).min(BACKOFF_MAX);
+            let longer = Millis(pause.0 * 2).min(MAX_BACKOFF);
             self.control.backoff = longer;
             self.control.resume_at = now + self.jitter(pause);
         }
@@ -374,9 +375,9 @@
         self.table = Table::new(&self.configuration);
         let revision = self.configuration.revision;
         self.stats.changes += revision.0.saturating_sub(before.0);
-        let was = self.in_force;
+        let was_in_force = self.in_force;
         self.try_enter_force(out);
-        if was {
+        if was_in_force {
             out.push(Action::Note(Note::InForce(revision)));
         }
     }
@@ -437,13 +438,13 @@
         out: &mut Vec<Action>,
     ) {
         self.stats.packets += 1;
-        let (from, theirs) = (packet.from, packet.revision);
+        let (from, peer_revision) = (packet.from, packet.revision);
         let mut sent = Vec::new();
         let rng = &mut self.rng;
         let rest = self.gossip.receive(now, packet, rng, &mut sent);
         self.send_packets(sent, out);
         self.note_members(out);
-        self.compare_revision(from, theirs, out);
+        self.compare_revision(from, peer_revision, out);
         if let Some(body) = rest {
             self.body_received(now, from, body, out);
         }
@@ -454,11 +455,11 @@
     fn compare_revision(
         &mut self,
         from: NodeId,
-        theirs: Revision,
+        peer_revision: Revision,
         out: &mut Vec<Action>,
     ) {
         let own = self.configuration.revision;
-        if theirs > own {
+        if peer_revision > own {
             self.send_packet(from, Body::Pull(own), out);
             return;
         }
@@ -468,7 +469,8 @@
         // Only equal, non-initial revisions confirm each other.
         let directory = self.gossip.members().directory();
         let zone = directory.get(from).map(|r| r.zone.clone());
-        if let Some(zone) = zone.filter(|_| theirs == own && own.0 > 0) {
+        if let Some(zone) = zone.filter(|_| peer_revision == own && own.0 > 0)
+        {
             self.confirmed_zones.insert(zone);
             self.try_enter_force(out);
         }
--- a/crates/walnutmoor-core/src/node/inbound.rs
+++ b/crates/walnutmoor-core/src/node/inbound.rs
@@ -3,7 +3,7 @@
 
 use super::{Action, Core, Note, outbound::FailedCalls};
 use crate::{
-    admit::{Level, PATH_MAX, Report},
+    admit::{Level, MAX_PATH_SERVICES, Report},
     call::{Envelope, Reply, Role, Trailer, is_overload},
     directory::{Offer as Advert, Status},
     error::{Kind, Ran, Refusal},
@@ -67,7 +67,7 @@
             self.children_time += now.since(self.children_since);
         }
         if let Some(fingerprint) = failed
-            && self.failed.len() < FAILED_CALLS_MAX
+            && self.failed.len() < MAX_FAILED_CALLS
         {
             self.failed.insert(fingerprint);
         }
@@ -75,25 +75,25 @@
 
     /// Records a service that this call depends on.
     pub(super) fn record_downstream(&mut self, service: &Service) {
-        let room = self.downstream.len() < PATH_MAX;
-        if room && !self.downstream.contains(service) {
+        let has_room = self.downstream.len() < MAX_PATH_SERVICES;
+        if has_room && !self.downstream.contains(service) {
             self.downstream.push(service.clone());
         }
     }
 
     /// The time spent in the server itself, without child calls.
     fn own_time(&self, now: Millis) -> Millis {
-        let whole = self.started.map_or(Millis(0), |at| now.since(at));
-        whole.since(self.children_time)
+        let total_time = self.started.map_or(Millis(0), |at| now.since(at));
+        total_time.since(self.children_time)
     }
 }
 
 /// The maximum number of failed child calls remembered per call; repeats of
 /// others are not recognized as retries.
-const FAILED_CALLS_MAX: usize = 64;
+const MAX_FAILED_CALLS: usize = 64;
 
 /// The maximum number of reports in a trailer, which bounds its size.
-const REPORTS_MAX: usize = 2 * PATH_MAX;
+const MAX_REPORTS: usize = 2 * MAX_PATH_SERVICES;
 
 impl Core {
     /// Handles a call that a peer forwarded.
@@ -117,9 +117,9 @@
         let deadline = now + envelope.left;
         let (key, applied) = (envelope.key, envelope.applied);
         let offer = Offer { call, key, applied, deadline };
-        let warmth = self.server.warmup_progress(now);
+        let warmup = self.server.warmup_progress(now);
         let Some(gate) = &mut self.gate else { return };
-        let verdict = gate.offer(now, offer, warmth);
+        let verdict = gate.offer(now, offer, warmup);
         self.inbound.insert(call, Inbound::new(envelope, deadline));
         self.timers.insert((deadline, call));
         match verdict {
@@ -242,11 +242,11 @@
             }
             reports.extend(known);
         }
-        reports.truncate(REPORTS_MAX);
-        let warmth = self.server.warmup_progress(now);
+        reports.truncate(MAX_REPORTS);
+        let warmup = self.server.warmup_progress(now);
         let load = gate.map(|gate| Load {
             busy: (gate.in_flight() + gate.queued()) as u32,
-            allowed: gate.allowed(warmth),
+            allowed: gate.allowed(warmup),
         });
         Trailer {
             load,
@@ -393,10 +393,10 @@
     /// Starts queued calls while there is room, and refuses those that waited
     /// too long.
     pub(super) fn advance_gate(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let warmth = self.server.warmup_progress(now);
+        let warmup = self.server.warmup_progress(now);
         let Some(gate) = &mut self.gate else { return };
         let mut steps = Vec::new();
-        gate.advance(now, warmth, &mut steps);
+        gate.advance(now, warmup, &mut steps);
         let shedding = gate.level() < Level::OPEN;
         for step in steps {
             match step {
@@ -419,26 +419,26 @@
     pub(super) fn announce(
         &mut self,
         now: Millis,
-        what: Announcement,
+        announcement: Announcement,
         out: &mut Vec<Action>,
     ) {
         if self.draining {
             return;
         }
-        let places = what.max_concurrency();
-        let changed = self.server.announced() != Some(&what);
-        let moved = self.server.announce(now, what);
+        let max_concurrency = announcement.max_concurrency();
+        let changed = self.server.announced() != Some(&announcement);
+        let state_changed = self.server.announce(now, announcement);
         match &mut self.gate {
-            Some(gate) => gate.set_max_concurrency(places),
+            Some(gate) => gate.set_max_concurrency(max_concurrency),
             None => {
                 let config = gate::Config::default()
                     .max_wait(self.config.queue_timeout)
                     .linger(self.config.linger)
                     .enforce(!self.observes());
-                self.gate = Some(Gate::new(config, places));
+                self.gate = Some(Gate::new(config, max_concurrency));
             }
         }
-        if moved || changed {
+        if state_changed || changed {
             self.advertise(now);
             self.note_server(out);
         }
--- a/crates/walnutmoor-core/src/node/mod.rs
+++ b/crates/walnutmoor-core/src/node/mod.rs
@@ -60,7 +60,7 @@
     id::{CallId, Incarnation, Service, Zone},
     once::Ledger,
     picker::Picker,
-    retry::Throttle,
+    retry::Limiter,
     server::Server,
     ticket::{Nonce, Party},
     time::Millis,
@@ -196,8 +196,8 @@
     inbound: Map<CallId, inbound::Inbound>,
     timers: BTreeSet<(Millis, CallId)>,
     view: View,
-    router: Picker,
-    share: Throttle,
+    picker: Picker,
+    retry_limiter: Limiter,
     server: Server,
     gate: Option<Gate>,
     shedding: bool,
@@ -242,8 +242,8 @@
             inbound: Map::default(),
             timers: BTreeSet::new(),
             view: View::new(),
-            router: Picker::new(),
-            share: Throttle::new(),
+            picker: Picker::new(),
+            retry_limiter: Limiter::new(),
             server: Server::new(),
             gate: None,
             shedding: false,
@@ -260,7 +260,7 @@
             table: config::Table::default(),
             in_force: false,
             confirmed_zones: BTreeSet::new(),
-            proposer: Proposer::new(PROPOSALS_MAX),
+            proposer: Proposer::new(MAX_PROPOSALS),
             control: control::Control::new(),
             config,
         }
@@ -377,4 +377,4 @@
 }
 
 /// The maximum number of pending configuration proposals.
-const PROPOSALS_MAX: usize = 1_024;
+const MAX_PROPOSALS: usize = 1_024;
--- a/crates/walnutmoor-core/src/node/outbound.rs
+++ b/crates/walnutmoor-core/src/node/outbound.rs
@@ -3,7 +3,7 @@
 use super::{Action, Core};
 use crate::{
     admit::Level,
-    call::{Arrival, DEPTH_MAX, Envelope, Role},
+    call::{Arrival, Envelope, MAX_DEPTH, Role},
     class::{self, Class, Key},
     digest::Set,
     error::{Kind, Ran, Refusal},
@@ -67,7 +67,7 @@
 }
 
 /// The maximum number of attempts for one call.
-pub(super) const ATTEMPTS_MAX: usize = 4;
+pub(super) const MAX_ATTEMPTS: usize = 4;
 
 /// Subtracted from the time left that a peer is given, so that its answer
 /// arrives before the deadline of this node.
@@ -227,7 +227,7 @@
         let deadline = parent_call.deadline;
         let left = deadline.since(now);
         if left <= DEADLINE_MARGIN
-            || parent_call.envelope.depth + 1 >= DEPTH_MAX
+            || parent_call.envelope.depth + 1 >= MAX_DEPTH
         {
             return Err(Refusal::new(Kind::Deadline, Ran::No));
         }
@@ -235,7 +235,7 @@
         if parent_call.failed.contains(&arrival.fingerprint) {
             let to = &arrival.service;
             let fits = parent_call.budget.spend()
-                && self.share.try_retry(from.as_ref(), to);
+                && self.retry_limiter.try_retry(from.as_ref(), to);
             if !fits && enforce {
                 return Err(Refusal::new(Kind::Budget, Ran::No));
             }
@@ -317,7 +317,7 @@
         let directory = self.gossip.members().directory();
         let servers = directory.servers(&service);
         let to = servers.and_then(|servers| {
-            self.router.pick(now, servers, &outbound.tried, &mut self.rng)
+            self.picker.pick(now, servers, &outbound.tried, &mut self.rng)
         });
         let Some(to) = to else {
             let refusal = self.no_server(&service, out);
@@ -380,9 +380,9 @@
         let envelope = outbound.envelope.clone();
         if first {
             let from = envelope.from.as_ref();
-            self.share.record_first_attempt(from, &envelope.service);
+            self.retry_limiter.record_first_attempt(from, &envelope.service);
         }
-        self.router.sent(to);
+        self.picker.sent(to);
         self.stats.forwarded += 1;
         out.push(Action::Forward { call, to, envelope });
     }
--- a/crates/walnutmoor-core/src/poison/isolation.rs
+++ b/crates/walnutmoor-core/src/poison/isolation.rs
@@ -12,9 +12,9 @@
 
 use crate::{digest::Map, id::CallId};
 
-/// The most suspects queued at an instance. Beyond this, a client is better
-/// served by retrying later.
-const WAITING_MAX: usize = 64;
+/// The maximum number of suspects queued at an instance. Beyond this, a client
+/// is better served by retrying later.
+const MAX_WAITING: usize = 64;
 
 /// Crashes from which a suspect runs alone.
 const MIN_CRASHES_TO_RUN_ALONE: u32 = 2;
@@ -50,13 +50,14 @@
     /// shared content are refused more often.
     pub const MAX_CONCURRENT: usize = 16;
 
-    /// An empty instance with the default limit.
+    /// Creates the state of an instance without suspects, with the default
+    /// limit.
     pub fn new() -> Isolation {
         Isolation::with_max_concurrent(Isolation::MAX_CONCURRENT)
     }
 
-    /// An empty instance that runs at most `max_concurrent` suspects of one
-    /// crash at a time.
+    /// Creates the state of an instance that runs at most `max_concurrent`
+    /// suspects of one crash at a time.
     pub fn with_max_concurrent(max_concurrent: usize) -> Isolation {
         let running = Map::default();
         Isolation { max_concurrent, running, waiting: VecDeque::new() }
@@ -68,7 +69,7 @@
             self.running.insert(call, crashes);
             return Admission::Admitted;
         }
-        if self.waiting.len() >= WAITING_MAX {
+        if self.waiting.len() >= MAX_WAITING {
             return Admission::Rejected;
         }
         self.waiting.push_back((call, crashes));
--- a/crates/walnutmoor-core/src/retry.rs
+++ b/crates/walnutmoor-core/src/retry.rs
@@ -7,7 +7,7 @@
 do not multiply across layers. Repeated attempts of a caller count too: the
 n-th attempt starts with n - 1 retries fewer.
 
-The [`Throttle`] holds a token bucket for the calls from one service to
+The [`Limiter`] holds a token bucket for the calls from one service to
 another. Each first attempt adds a tenth of a token and each retry takes a
 whole one, so that retries are at most 10% of the traffic, similar to the retry
 throttling of gRPC.
@@ -80,21 +80,21 @@
 const TOKENS_PER_FIRST_ATTEMPT: f64 = 0.1;
 
 /// The maximum number of tokens of a pair.
-const TOKENS_MAX: f64 = 10.0;
+const MAX_TOKENS: f64 = 10.0;
 
 /// The maximum number of pairs kept. Other pairs may not retry.
-const PAIRS_MAX: usize = 4_096;
+const MAX_PAIRS: usize = 4_096;
 
 /// Limits retries to a share of the first attempts, for each pair of services.
 #[derive(Debug, Default)]
-pub struct Throttle {
+pub struct Limiter {
     tokens: Map<(Option<Service>, Service), f64>,
 }
 
-impl Throttle {
-    /// Creates a throttle without any pairs.
-    pub fn new() -> Throttle {
-        Throttle::default()
+impl Limiter {
+    /// Creates a limiter without any pairs.
+    pub fn new() -> Limiter {
+        Limiter::default()
     }
 
     /// Counts a first attempt from one service to another; `from` is `None`
@@ -106,8 +106,8 @@
     ) {
         let pair = (from.cloned(), to.clone());
         if let Some(tokens) = self.tokens.get_mut(&pair) {
-            *tokens = (*tokens + TOKENS_PER_FIRST_ATTEMPT).min(TOKENS_MAX);
-        } else if self.tokens.len() < PAIRS_MAX {
+            *tokens = (*tokens + TOKENS_PER_FIRST_ATTEMPT).min(MAX_TOKENS);
+        } else if self.tokens.len() < MAX_PAIRS {
             // Start with one token, so that a pair with little traffic can
             // retry.
             self.tokens.insert(pair, 1.0 + TOKENS_PER_FIRST_ATTEMPT);
